--- a/deckdrum/node/core.py
+++ b/deckdrum/node/core.py
@@ -10,19 +10,19 @@
 from deckdrum.backends import Backend
 from deckdrum.control import ControlStore, ControlView, Kind, StoreFeed
 from deckdrum.fleet.detours import DetourDialer, Dial
-from deckdrum.fleet.following import NewsFollower
-from deckdrum.fleet.nodes import NodePeers
+from deckdrum.fleet.node_peers import NodePeers
 from deckdrum.fleet.settings import NodeSettings
-from deckdrum.forwarding import ForwardedWork
-from deckdrum.leadership.changes import ChangeTools
-from deckdrum.leadership.duty import PromotionDuty
-from deckdrum.node.answering import Answerer
-from deckdrum.node.care import MemberCare
-from deckdrum.node.host import NodeHost
-from deckdrum.node.lending import Lender
-from deckdrum.node.registration import Registration
-from deckdrum.node.services import ServiceBook
-from deckdrum.node.sessions import SessionBook
+from deckdrum.fleet.update_following import UpdateFollower
+from deckdrum.forwarding import ForwardedStatementHandler
+from deckdrum.leadership.context import LeadershipContext
+from deckdrum.leadership.promotion_client import PromotionClient
+from deckdrum.node.failure_detection import FailureDetector
+from deckdrum.node.lending import ConnectionLender
+from deckdrum.node.peer_requests import PeerRequestHandler
+from deckdrum.node.registration import NodeRegistration
+from deckdrum.node.services import ServiceManager
+from deckdrum.node.session_host import NodeHost
+from deckdrum.node.sessions import SessionManager
 from deckdrum.serving import CallerSession, ServiceRuntime
 from deckdrum.utils import Journal, dial
 from deckdrum.utils.counters import Counters
@@ -30,11 +30,11 @@
 
 BackendMaker = Callable[..., Backend]
 #: Pause between two rounds of upkeep, in seconds.
-UPKEEP_PAUSE: Final = 0.25
+MAINTENANCE_INTERVAL_S: Final = 0.25
 #: Wait after a change of the view for others that come with it, in seconds.
-FOLLOW_PAUSE: Final = 0.01
+CHANGE_DEBOUNCE_DELAY_S: Final = 0.01
 #: Pause between two looks for the first configuration, in seconds.
-CONFIGURED_POLL: Final = 0.02
+CONFIGURATION_POLL_INTERVAL_S: Final = 0.02
 
 
 class Node:
@@ -63,20 +63,20 @@
         self,
         settings: NodeSettings,
         store: ControlStore,
-        duty: PromotionDuty,
+        duty: PromotionClient,
         make_backend: BackendMaker,
         journal: Journal,
         counters: Counters,
-        dial_straight: Dial = dial,
+        dial_direct: Dial = dial,
     ) -> None:
         self.settings = settings
         self.journal = journal
         self.counters = counters
         self.is_stopping = False
         #: Whether sessions end as soon as they are at rest.
-        self.is_parting = False
+        self.is_closing_sessions = False
         self._store = store
-        self._dialer = DetourDialer(dial_straight)
+        self._dialer = DetourDialer(dial_direct)
         self._randomness = Random(settings.seed or None)
         self.view = ControlView(store, journal, settings.drain_time)
         self.view.on_change.append(self._note_change)
@@ -90,9 +90,11 @@
             journal,
             self._randomness,
         )
-        self._registration = Registration(settings, self.view, store, journal)
+        self._registration = NodeRegistration(
+            settings, self.view, store, journal
+        )
         #: For those who watch and change primaries.
-        self.tools = ChangeTools(
+        self.tools = LeadershipContext(
             settings.name,
             self.view,
             store,
@@ -102,27 +104,27 @@
             self._randomness,
             settings.policies,
         )
-        self._book = ServiceBook(
+        self._book = ServiceManager(
             self.tools,
             partial(make_backend, dial=self._dialer.dial),
             journal,
             counters,
         )
-        self.lender = Lender(self.services, counters)
+        self.lender = ConnectionLender(self.services, counters)
         self.peers.lend = self.lender.lend
-        self._care = MemberCare(
+        self._failure_detector = FailureDetector(
             settings.name,
             self.view,
             self.peers,
             journal,
         )
-        self._follower = NewsFollower(
+        self._follower = UpdateFollower(
             settings,
             self.feed,
             self.peers,
             journal,
         )
-        self._sessions = SessionBook(
+        self._sessions = SessionManager(
             journal,
             counters,
             lambda: self.view.version,
@@ -137,9 +139,9 @@
             journal,
             counters,
         )
-        answerer = Answerer(self.services, self.host.counter)
+        answerer = PeerRequestHandler(self.services, self.host.counter)
         self.peers.answer = answerer.answer
-        self._forwarded = ForwardedWork(
+        self._forwarded = ForwardedStatementHandler(
             self._book.find_execution,
             lambda: self.view.configuration,
             self._sessions,
@@ -194,13 +196,13 @@
         for kind in Kind:
             await self._keep_running(self.feed.run, kind)
         for run in (
-            self._follow_changes,
-            self._run_upkeep,
-            self.feed.run_checks,
+            self._apply_changes,
+            self._run_maintenance,
+            self.feed.run_watch_checks,
             self._book.figures.run,
             self.peers.run,
             self._registration.run,
-            self._care.run,
+            self._failure_detector.run,
             self._follower.run,
         ):
             await self._keep_running(run)
@@ -211,12 +213,12 @@
             members=lambda: len(self.view.members),
         )
 
-    async def begin_stop(self) -> None:
+    async def begin_shutdown(self) -> None:
         """Call for no more callers; what is under way goes on."""
         if not self.is_stopping:
             self.is_stopping = True
             self.host.counter.is_stopping = True
-            await self._registration.announce_leave()
+            await self._registration.announce_leaving()
             self.journal.record(
                 'node.stopping',
                 sessions=self.sessions,
@@ -225,18 +227,18 @@
 
     async def close(self) -> None:
         """Leave the other nodes and stop."""
-        await self._registration.withdraw()
+        await self._registration.deregister()
         for task in self._tasks:
             await task.cancel(blocking=False)
         await self._book.close()
         await self.peers.close()
         self.journal.record('node.stopped', sessions=self.sessions)
 
-    async def wait_configured(self, limit: float) -> bool:
+    async def wait_for_configuration(self, limit: float) -> bool:
         """Wait for the first configuration; tell whether there is one."""
         async with curio.ignore_after(limit):
             while self.view.configuration is None:
-                await curio.sleep(CONFIGURED_POLL)
+                await curio.sleep(CONFIGURATION_POLL_INTERVAL_S)
         return self.view.configuration is not None
 
     async def close_session(self, session: CallerSession) -> None:
@@ -266,23 +268,23 @@
         self._registration.note_change()
         await self._changed.set()
 
-    async def _follow_changes(self) -> None:
+    async def _apply_changes(self) -> None:
         while True:
             await self._changed.wait()
-            await curio.sleep(FOLLOW_PAUSE)
+            await curio.sleep(CHANGE_DEBOUNCE_DELAY_S)
             self._changed.clear()
-            await self.host.counter.adopt_members()
+            await self.host.counter.apply_members()
             await self._book.adopt(
                 self._registration.member,
-                is_returning=self._registration.is_returning,
+                was_registered=self._registration.was_registered,
             )
 
-    async def _run_upkeep(self) -> None:
+    async def _run_maintenance(self) -> None:
         """End transactions that rest too long; forget removed servers."""
         while True:
-            await curio.sleep(UPKEEP_PAUSE)
-            await self.view.age_removed()
+            await curio.sleep(MAINTENANCE_INTERVAL_S)
+            await self.view.expire_removed_servers()
             configuration = self.view.configuration
             if configuration is not None:
                 limit = configuration.idle_transaction_limit
-                await self._sessions.end_idle(limit)
+                await self._sessions.rollback_idle_transactions(limit)
--- a/deckdrum/node/care.py
+++ b/deckdrum/node/failure_detection.py
@@ -12,22 +12,22 @@
 
 from deckdrum.control import ControlView, Kind, Member
 from deckdrum.fleet.messages import Heartbeat
-from deckdrum.fleet.nodes import NodePeers
+from deckdrum.fleet.node_peers import NodePeers
 from deckdrum.outcomes.errors import StoreError
 from deckdrum.utils import Journal
 from deckdrum.utils.ranks import weigh
 
 #: Pause between two rounds of questions, in seconds.
-CARE_PAUSE: Final = 2.0
+PROBE_INTERVAL_S: Final = 2.0
 #: How long a node is silent before it counts as gone, in seconds: longer than
 #: a restart takes, and than most cuts and freezes last.
-GONE_AFTER: Final = 10.0
+NODE_FAILURE_TIMEOUT_S: Final = 10.0
 #: Ranks that watch those before them, so that the first may be lost too.
-WATCHING_RANKS: Final = 3
+DETECTOR_COUNT: Final = 3
 _RANK_KEY: Final = 'members'
 
 
-class MemberCare:
+class FailureDetector:
     """One node's part in looking after the members.
 
     Parameters
@@ -59,7 +59,7 @@
     async def run(self) -> None:
         """Look after the members for ever."""
         while True:
-            await curio.sleep(CARE_PAUSE)
+            await curio.sleep(PROBE_INTERVAL_S)
             await self._look()
 
     async def _look(self) -> None:
@@ -68,14 +68,14 @@
             key=_rank,
         )
         before = [name for name in ranked if _rank(name) < _rank(self._node)]
-        if len(before) >= WATCHING_RANKS:
+        if len(before) >= DETECTOR_COUNT:
             return
         await self._ask(before)
         if all([await self._is_gone(name) for name in before]):
             await self._ask(ranked)
             for name in ranked:
                 if await self._is_gone(name):
-                    await self._note_gone(name)
+                    await self._mark_gone(name)
 
     async def _ask(self, names: list[str]) -> None:
         members = self._view.members
@@ -100,10 +100,10 @@
         if since is None:
             return False
         now: float = await curio.clock()
-        return now - since >= GONE_AFTER
+        return now - since >= NODE_FAILURE_TIMEOUT_S
 
-    async def _note_gone(self, name: str) -> None:
-        entry = self._view.find_member(name)
+    async def _mark_gone(self, name: str) -> None:
+        entry = self._view.get_member(name)
         if entry is None or not isinstance(entry.record, Member):
             return
         gone = replace(entry.record, is_gone=True)
--- a/deckdrum/node/lending.py
+++ b/deckdrum/node/lending.py
@@ -10,7 +10,7 @@
     encode_prepared,
 )
 from deckdrum.fleet.channels import StreamChannel
-from deckdrum.fleet.questions import (
+from deckdrum.fleet.node_messages import (
     BorrowLink,
     Carried,
     LinkLent,
@@ -27,7 +27,7 @@
 _FULL = LinkLent(is_lent=False, is_full=True, values={}, prepared=())
 
 
-class Lender:
+class ConnectionLender:
     """Lends this node's connections.
 
     Parameters
@@ -61,10 +61,10 @@
             If the borrower is gone; the connection is closed then.
         """
         handle = self._find(question)
-        if handle is None or not await _may_lend(handle, question):
+        if handle is None or not await _is_lendable(handle, question):
             await channel.send(_NOT_LENT)
             return
-        if not await self._can_lend(handle):
+        if not await self._has_capacity(handle):
             await channel.send(_FULL)
             return
         try:
@@ -88,7 +88,7 @@
         finally:
             self.lent -= 1
 
-    async def _can_lend(self, handle: ServerHandle) -> bool:
+    async def _has_capacity(self, handle: ServerHandle) -> bool:
         """Tell whether this node has, or may open, a connection of its own."""
         is_full = await curio.clock() < handle.own.full_until
         return handle.pool.idle > 0 or not is_full
@@ -115,7 +115,7 @@
                     prepared=encode_prepared(state),
                 ),
             )
-            returned = await _carry_both(channel, stream)
+            returned = await _relay_until_returned(channel, stream)
             lease.link.state = decode_state(returned.values, returned.prepared)
             is_clean = True
         finally:
@@ -123,24 +123,24 @@
         await channel.send(LinkReturned())
 
 
-async def _may_lend(handle: ServerHandle, question: BorrowLink) -> bool:
+async def _is_lendable(handle: ServerHandle, question: BorrowLink) -> bool:
     """Tell whether a connection of this node's own may be lent.
 
     One to a server that has left serves questions, which are of no group: the
     borrower may not know yet that it leaves.
     """
-    is_barred = bool(question.group) and handle.departure.has_left(
+    is_barred = bool(question.group) and handle.departure.is_past_cutoff(
         await curio.clock()
     )
     return handle.is_holder and not is_barred
 
 
-async def _carry_both(
+async def _relay_until_returned(
     channel: StreamChannel,
     stream: ByteStream,
 ) -> ReturnLink:
     """Carry bytes both ways until the borrower returns the connection."""
-    answering = await curio.spawn(_carry_answers, channel, stream)
+    answering = await curio.spawn(_relay_responses, channel, stream)
     try:
         while True:
             message = await channel.receive()
@@ -154,7 +154,7 @@
         await answering.cancel()
 
 
-async def _carry_answers(channel: StreamChannel, stream: ByteStream) -> None:
+async def _relay_responses(channel: StreamChannel, stream: ByteStream) -> None:
     while chunk := await stream.receive():
         try:
             await channel.send(Carried(chunk))
--- a/deckdrum/node/registration.py
+++ b/deckdrum/node/registration.py
@@ -14,10 +14,10 @@
 #: Pause between two looks at the own registration, in seconds.
 LOOK_PAUSE: Final = 1.0
 #: Longest wait for the store when a node leaves, in seconds.
-WITHDRAW_LIMIT: Final = 0.3
+DEREGISTER_TIMEOUT_S: Final = 0.3
 
 
-class Registration:
+class NodeRegistration:
     """Keeps a node's entry among the members.
 
     Parameters
@@ -46,8 +46,8 @@
         self._is_leaving = False
         #: Whether the store has known this node since a former life, so that
         #: changes of primary ask it since before this one began.
-        self.is_returning = False
-        self._has_looked = False
+        self.was_registered = False
+        self._has_checked_registration = False
         self._member = Member(
             settings.name,
             str(settings.peer_address),
@@ -58,8 +58,8 @@
     async def run(self) -> None:
         """Keep the entry for ever."""
         while True:
-            entry = self._view.find_member(self._settings.name)
-            is_known = self._view.read_revision(Kind.MEMBERS) > 0
+            entry = self._view.get_member(self._settings.name)
+            is_known = self._view.get_revision(Kind.MEMBERS) > 0
             is_own = entry is not None and entry.record == self._member
             if is_known and not is_own and not self._is_leaving:
                 await self._register(entry)
@@ -67,33 +67,35 @@
 
     def note_change(self) -> None:
         """Learn from the first list whether there was a former life."""
-        if self._has_looked or not self._view.read_revision(Kind.MEMBERS):
+        if self._has_checked_registration or not self._view.get_revision(
+            Kind.MEMBERS
+        ):
             return
-        self._has_looked = True
-        entry = self._view.find_member(self._settings.name)
+        self._has_checked_registration = True
+        entry = self._view.get_member(self._settings.name)
         # The entry may be this life's own if the list was empty.
         is_own = entry is not None and entry.record == self._member
-        self.is_returning = entry is not None and not is_own
+        self.was_registered = entry is not None and not is_own
 
     @property
     def member(self) -> Member:
         """The node, as it registers itself."""
         return self._member
 
-    async def announce_leave(self) -> None:
+    async def announce_leaving(self) -> None:
         """Tell the others that this node is to leave."""
         self._member = replace(self._member, is_leaving=True)
-        async with curio.ignore_after(WITHDRAW_LIMIT):
-            await self._register(self._view.find_member(self._settings.name))
+        async with curio.ignore_after(DEREGISTER_TIMEOUT_S):
+            await self._register(self._view.get_member(self._settings.name))
 
-    async def withdraw(self) -> None:
+    async def deregister(self) -> None:
         """Take the entry away."""
         self._is_leaving = True
-        entry = self._view.find_member(self._settings.name)
+        entry = self._view.get_member(self._settings.name)
         if entry is None:
             return
         try:
-            async with curio.timeout_after(WITHDRAW_LIMIT):
+            async with curio.timeout_after(DEREGISTER_TIMEOUT_S):
                 await self._store.remove(
                     Kind.MEMBERS, entry.name, entry.revision
                 )
@@ -114,9 +116,9 @@
             self._journal.record('member.not_registered', reason=str(error))
             return
         if stored is None:
-            await self._read_own()
+            await self._fetch_own_entry()
 
-    async def _read_own(self) -> None:
+    async def _fetch_own_entry(self) -> None:
         """Take over what lies under the own name."""
         try:
             await self._view.fetch(Kind.MEMBERS, self._settings.name)
--- a/deckdrum/node/services.py
+++ b/deckdrum/node/services.py
@@ -8,9 +8,9 @@
 from deckdrum.backends import Backend, BackendServer
 from deckdrum.control import Kind, Member, ServiceDeclaration
 from deckdrum.forwarding import Forwarder
-from deckdrum.leadership.changes import ChangeTools
+from deckdrum.leadership.context import LeadershipContext
 from deckdrum.leadership.supervision import Supervisor
-from deckdrum.node.figures import FigureTeller
+from deckdrum.node.statistics_logger import StatisticsLogger
 from deckdrum.serving.execution import Execution
 from deckdrum.serving.routing import Router
 from deckdrum.serving.runners import StatementRunner
@@ -20,7 +20,7 @@
 from deckdrum.utils.tasks import keep_running
 
 
-class ServiceBook:
+class ServiceManager:
     """Opens the groups that the configuration declares.
 
     Parameters
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        tools: ChangeTools,
+        tools: LeadershipContext,
         make_direct: Callable[[BackendServer], Backend],
         journal: Journal,
         counters: Counters,
@@ -48,10 +48,10 @@
         self._journal = journal
         self._counters = counters
         #: Tells what was counted.
-        self.figures = FigureTeller(self.services, counters, journal)
+        self.figures = StatisticsLogger(self.services, counters, journal)
         self._executions: dict[str, Execution] = {}
         self._forwarders: dict[str, Forwarder] = {}
-        self._supervisors: list[Any] = []
+        self._supervisor_tasks: list[Any] = []
 
     def find_execution(self, service: str) -> Execution | None:
         """Return what runs statements of a group at this node itself."""
@@ -68,10 +68,10 @@
             return self._forwarders[service]
         return self.find_execution(service)
 
-    async def adopt(self, own: Member, *, is_returning: bool) -> None:
+    async def adopt(self, own: Member, *, was_registered: bool) -> None:
         """Take over the view: groups, servers, leadership and members.
 
-        `is_returning` tells that the store has known this node since before
+        `was_registered` tells that the store has known this node since before
         it listed anything.
         """
         configuration = self._tools.view.configuration
@@ -80,18 +80,18 @@
         book = configuration.workspaces
         workspaces = len(book.workspaces) if book else 0
         for declaration in configuration.services.values():
-            await self._adopt_service(declaration, own, workspaces)
-            if is_returning:
-                await self._take_proof(declaration.name)
+            await self._apply_declaration(declaration, own, workspaces)
+            if was_registered:
+                await self._apply_leadership_proof(declaration.name)
 
     async def close(self) -> None:
         """Stop to watch the groups, and close idle connections."""
-        for task in self._supervisors:
+        for task in self._supervisor_tasks:
             await task.cancel(blocking=False)
         for runtime in self.services.values():
             await runtime.close()
 
-    async def _adopt_service(
+    async def _apply_declaration(
         self,
         declaration: ServiceDeclaration,
         own: Member,
@@ -109,11 +109,11 @@
         }
         await runtime.adopt_servers(listed, view.find_departure)
         await runtime.deal(declaration, own, view.members, workspaces)
-        known = view.find_leadership(name)
+        known = view.get_leadership(name)
         if known is not None:
-            await runtime.belief.adopt_record(*known)
+            await runtime.leadership_state.adopt_record(*known)
 
-    async def _take_proof(self, service: str) -> None:
+    async def _apply_leadership_proof(self, service: str) -> None:
         """Take the list of leadership as proof, so that no server is asked.
 
         It is as good as a record read by itself, but only to a node that was
@@ -123,9 +123,11 @@
         view = self._tools.view
         listed_at = view.listed_at.get(Kind.LEADERSHIP)
         if listed_at is not None:
-            revision, record = view.find_leadership(service) or (0, None)
-            belief = self.services[service].belief
-            await belief.note_store(revision, record, listed_at)
+            revision, record = view.get_leadership(service) or (0, None)
+            leadership_state = self.services[service].leadership_state
+            await leadership_state.record_store_answer(
+                revision, record, listed_at
+            )
 
     async def _open(
         self,
@@ -142,7 +144,7 @@
             self._tools.policies,
         )
         supervisor = Supervisor(runtime, self._tools)
-        runtime.on_trouble = supervisor.note_trouble
+        runtime.on_server_failure = supervisor.handle_server_failure
         router = Router(runtime, own.data_centre)
         execution = Execution(runtime, router)
         self.services[declaration.name] = runtime
@@ -152,7 +154,7 @@
             self._tools.peers,
             execution,
         )
-        self._supervisors.append(
+        self._supervisor_tasks.append(
             await curio.spawn(
                 keep_running,
                 self._journal,
--- a/deckdrum/node/host.py
+++ b/deckdrum/node/session_host.py
@@ -1,11 +1,11 @@
 """What the sessions of a node's callers need of it."""
 
 from deckdrum.control import Access, ControlView, Route, find_access
-from deckdrum.fleet.nodes import NodePeers
+from deckdrum.fleet.node_peers import NodePeers
 from deckdrum.fleet.settings import NodeSettings
-from deckdrum.limits import LimitAsker, LimitCounter
-from deckdrum.node.services import ServiceBook
-from deckdrum.node.sessions import SessionBook
+from deckdrum.limits import LimitClient, LimitCounter
+from deckdrum.node.services import ServiceManager
+from deckdrum.node.sessions import SessionManager
 from deckdrum.operations import Request
 from deckdrum.outcomes import Refusal
 from deckdrum.serving import (
@@ -46,8 +46,8 @@
         settings: NodeSettings,
         view: ControlView,
         peers: NodePeers,
-        book: ServiceBook,
-        sessions: SessionBook,
+        book: ServiceManager,
+        sessions: SessionManager,
         journal: Journal,
         counters: Counters,
     ) -> None:
@@ -62,7 +62,7 @@
         self._view = view
         self._book = book
         self._sessions = sessions
-        self._limits = LimitAsker(
+        self._limits = LimitClient(
             settings.name,
             view,
             peers,
@@ -95,7 +95,7 @@
 
     async def spend_limit(self, access: Access) -> Refusal | None:
         """Begin an operation within its workspace's limit, or refuse it."""
-        return await self._limits.spend(access.workspace)
+        return await self._limits.try_begin(access.workspace)
 
     def find_runner(
         self,
--- a/deckdrum/node/sessions.py
+++ b/deckdrum/node/sessions.py
@@ -7,7 +7,7 @@
 import curio
 
 from deckdrum.control import Route
-from deckdrum.forwarding.receiving import SessionRegister
+from deckdrum.forwarding.handler import SessionRegistry
 from deckdrum.operations import Begin, Commit, Execute, Request, Run
 from deckdrum.outcomes import Code, Fate, Refusal
 from deckdrum.serving import CallerSession, Outcome
@@ -15,7 +15,7 @@
 from deckdrum.utils.counters import Counters
 
 #: What turned statements away, as figures name it; a doubt has no cause here.
-CAUSES: Final = MappingProxyType(
+REFUSAL_LABELS: Final = MappingProxyType(
     {
         Code.LIMIT_REACHED: 'limit',
         Code.LIMIT_UNKNOWN: 'limit unknown',
@@ -29,7 +29,7 @@
 )
 
 
-class SessionBook(SessionRegister):
+class SessionManager(SessionRegistry):
     """Knows the open sessions, and ends transactions that rest.
 
     Parameters
@@ -61,7 +61,7 @@
     @property
     def open_transactions(self) -> int:
         """Number of sessions inside a request or a transaction."""
-        return sum(not session.is_at_rest for session in self._sessions)
+        return sum(not session.is_inactive for session in self._sessions)
 
     def add(self, session: CallerSession) -> None:
         """Enter a session that has just been opened."""
@@ -89,22 +89,22 @@
     async def abandon_transactions(self, reason: str) -> None:
         """Roll back every transaction that rests between statements."""
         for session in list(self._sessions):
-            if session.has_resting_transaction:
+            if session.has_idle_transaction:
                 self._journal.record(
                     'transaction.abandoned',
                     database=session.state.database,
                     reason=reason,
                 )
-                await session.abandon_transaction(reason)
+                await session.abort_transaction(reason)
 
-    async def end_idle(self, limit: float) -> None:
+    async def rollback_idle_transactions(self, limit: float) -> None:
         """Roll back transactions that have rested for over `limit` seconds."""
         oldest = await curio.clock() - limit
         for session in list(self._sessions):
-            is_idle = session.rested_at < oldest
-            if is_idle and session.has_resting_transaction:
+            is_idle = session.idle_since < oldest
+            if is_idle and session.has_idle_transaction:
                 self._counters.count('idle_transactions')
-                await session.abandon_transaction('it rested too long')
+                await session.abort_transaction('it rested too long')
 
     def note_outcome(
         self,
@@ -121,11 +121,11 @@
         self._counters.note_latency(guarantee, fate, seconds)
         is_late = route is not None and seconds > route.objective
         service = route.service if route else ''
-        if _is_owed(request, outcome):
+        if _is_counted(request, outcome):
             self._counters.count_work(
                 service,
                 session.state.workspace,
-                name_outcome(outcome, is_late=is_late),
+                get_outcome_label(outcome, is_late=is_late),
             )
         if not is_refused and not is_late:
             return
@@ -143,25 +143,25 @@
         )
 
 
-def name_outcome(outcome: Outcome, *, is_late: bool) -> str:
+def get_outcome_label(outcome: Outcome, *, is_late: bool) -> str:
     """Return what became of a statement, as figures name it.
 
     Examples
     --------
     >>> from deckdrum.outcomes import refuse
-    >>> name_outcome(refuse(Code.LIMIT_REACHED), is_late=False)
+    >>> get_outcome_label(refuse(Code.LIMIT_REACHED), is_late=False)
     'limit'
-    >>> name_outcome(refuse(Code.CONNECTION_LOST), is_late=True)
+    >>> get_outcome_label(refuse(Code.CONNECTION_LOST), is_late=True)
     'doubt'
     """
     if not isinstance(outcome, Refusal):
         return 'late' if is_late else 'done'
     if outcome.fate is Fate.UNKNOWN:
         return 'doubt'
-    return CAUSES.get(outcome.code, 'other')
+    return REFUSAL_LABELS.get(outcome.code, 'other')
 
 
-def _is_owed(request: Request, outcome: Outcome) -> bool:
+def _is_counted(request: Request, outcome: Outcome) -> bool:
     """Tell whether a request counts as a statement of its caller.
 
     What the node answers by itself does not, unless it refuses to begin.
--- a/deckdrum/node/figures.py
+++ b/deckdrum/node/statistics_logger.py
@@ -13,10 +13,10 @@
 
 #: Pause between two lines of figures, in seconds: the figures of a node that
 #: ends without a word are known but for those since the last line.
-FIGURES_PAUSE: Final = 5.0
+STATISTICS_INTERVAL_S: Final = 5.0
 
 
-class FigureTeller:
+class StatisticsLogger:
     """Logs what a node has counted so far, as often as it grows.
 
     Parameters
@@ -43,22 +43,22 @@
     async def run(self) -> None:
         """Log figures for ever."""
         while True:
-            await curio.sleep(FIGURES_PAUSE)
+            await curio.sleep(STATISTICS_INTERVAL_S)
             self.tell()
 
     def tell(self) -> None:
         """Log the figures that have grown since they were told."""
         calls = self._counters.describe_store_calls()
-        self._tell_grown('store.calls', {'calls': calls})
+        self._log_if_changed('store.calls', {'calls': calls})
         work = self._counters.describe_work()
-        self._tell_grown('work.figures', {'work': work})
+        self._log_if_changed('work.figures', {'work': work})
         connections = {
             name: count_connections(runtime)
             for name, runtime in self._services.items()
         }
-        self._tell_grown('connection.figures', {'connections': connections})
+        self._log_if_changed('connection.figures', {'connections': connections})
 
-    def _tell_grown(self, event: str, figures: dict[str, Any]) -> None:
+    def _log_if_changed(self, event: str, figures: dict[str, Any]) -> None:
         if any(figures.values()) and figures != self._told.get(event):
             self._told[event] = figures
             self._journal.record(event, **figures)
@@ -66,7 +66,7 @@
 
 def count_connections(runtime: ServiceRuntime) -> dict[str, int]:
     """Return what became of a node's connections to a group so far."""
-    total = Counter(runtime.former_connections)
+    total = Counter(runtime.removed_server_stats)
     for handle in runtime.servers.values():
         total.update(asdict(handle.pool.figures))
     return dict(total)
--- a/deckdrum/node/stopping.py
+++ b/deckdrum/node/stopping.py
@@ -9,22 +9,22 @@
 
 #: How long after a request to stop new connections still come, in seconds:
 #: the platform asks each second and believes the second refusal.
-STILL_SENT: Final = 2.3
+READINESS_PROPAGATION_S: Final = 2.3
 #: Time before the kill from which on no new connection is taken, in seconds:
 #: longer than a statement may take (0.8 to 2 s).
-LAST_REQUESTS: Final = 2.7
+ACCEPT_CUTOFF_S: Final = 2.7
 #: Time kept before the kill, in seconds.
-KILL_MARGIN: Final = 0.5
+KILL_MARGIN_S: Final = 0.5
 #: Pause between two looks at the connections that are left, in seconds.
-STOP_POLL: Final = 0.1
+DRAIN_POLL_INTERVAL_S: Final = 0.1
 #: Share of the resting connections closed at each look, so that callers do
 #: not all come back at once.
-CLOSED_SHARE: Final = 0.3
+IDLE_CLOSE_FRACTION: Final = 0.3
 #: Part of the time in which open transactions may end.
-TRANSACTION_PART: Final = 0.5
+TRANSACTION_DRAIN_FRACTION: Final = 0.5
 
 
-class Entrance(ABC):
+class ClientListener(ABC):
     """Where callers connect."""
 
     @property
@@ -45,7 +45,7 @@
         """Close every connection."""
 
 
-class PlannedStop:
+class GracefulShutdown:
     """Stops a node within the time before its kill.
 
     1. At once the node is not ready; whoever still comes is served.
@@ -62,37 +62,37 @@
         Where its callers connect.
     """
 
-    def __init__(self, node: Node, entrance: Entrance) -> None:
+    def __init__(self, node: Node, entrance: ClientListener) -> None:
         self._node = node
         self._entrance = entrance
 
     async def run(self, grace: float) -> None:
         """Stop the node within `grace` seconds."""
-        await self._node.begin_stop()
+        await self._node.begin_shutdown()
         began = await curio.clock()
         elapsed: float = 0
-        while elapsed < grace - KILL_MARGIN:
-            await self._part(elapsed, grace)
-            if elapsed >= STILL_SENT and self._is_unused():
+        while elapsed < grace - KILL_MARGIN_S:
+            await self._run_due_steps(elapsed, grace)
+            if elapsed >= READINESS_PROPAGATION_S and self._is_drained():
                 break
-            await curio.sleep(STOP_POLL)
+            await curio.sleep(DRAIN_POLL_INTERVAL_S)
             elapsed = await curio.clock() - began
         await self._node.close()
         await self._entrance.close()
 
-    async def _part(self, elapsed: float, grace: float) -> None:
+    async def _run_due_steps(self, elapsed: float, grace: float) -> None:
         """Take the steps that are due after `elapsed` seconds."""
-        half = grace * TRANSACTION_PART
-        if elapsed >= min(STILL_SENT, half):
-            await self._entrance.close_quiet(CLOSED_SHARE)
+        half = grace * TRANSACTION_DRAIN_FRACTION
+        if elapsed >= min(READINESS_PROPAGATION_S, half):
+            await self._entrance.close_quiet(IDLE_CLOSE_FRACTION)
         if elapsed >= half:
-            self._node.is_parting = True
+            self._node.is_closing_sessions = True
             await self._node.abandon_transactions('the node stops')
-        if elapsed >= grace - LAST_REQUESTS:
+        if elapsed >= grace - ACCEPT_CUTOFF_S:
             # New connections come as long as there are few other nodes;
             # what comes later could not be answered in time.
             await self._entrance.stop_accepting()
 
-    def _is_unused(self) -> bool:
+    def _is_drained(self) -> bool:
         is_used_by_others = self._node.lent or self._node.forwarded
         return not self._entrance.connections and not is_used_by_others
--- a/deckdrum/node/tests/test_life.py
+++ b/deckdrum/node/tests/test_lifecycle.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from deckdrum.node.stopping import PlannedStop
+from deckdrum.node.stopping import GracefulShutdown
 from deckdrum.standins.users import StoreFault
 from deckdrum.testing.nodes import (
     CURRENT,
@@ -60,7 +60,7 @@
         node = deployment.nodes[0].node
         client = await deployment.connect(CURRENT)
         assert node.is_ready
-        await node.begin_stop()
+        await node.begin_shutdown()
         assert not node.is_ready
         assert (await client.ask('WRITE a 1')).is_done
 
@@ -74,7 +74,7 @@
         await busy.ask('BEGIN')
         await busy.ask('WRITE a 1')
         frontend = deployment.nodes[0].frontend
-        await deployment.nodes[0].node.begin_stop()
+        await deployment.nodes[0].node.begin_shutdown()
         await frontend.close_quiet(1.0)
         assert await quiet.stream.receive() == b''
         assert (await busy.ask('COMMIT')).is_done
@@ -101,7 +101,7 @@
         """Callers keep coming to a node that stops, as in a small zone."""
         running = deployment.nodes.pop(0)
         address = running.frontend.address
-        stop = PlannedStop(running.node, running.frontend)
+        stop = GracefulShutdown(running.node, running.frontend)
         stopping = await curio.spawn(stop.run, 6.0)
         unanswered: list[str] = []
         callers = [
--- a/deckdrum/platform/configuration.py
+++ b/deckdrum/platform/configuration.py
@@ -8,19 +8,19 @@
 
 from deckdrum.control import (
     Configuration,
-    Guarantee,
+    ConsistencyGuarantee,
     Route,
     ServiceDeclaration,
 )
 from deckdrum.outcomes.errors import DocumentError
-from deckdrum.workspaces import Workspace, WorkspaceBook, fingerprint_key
+from deckdrum.workspaces import Workspace, WorkspaceDirectory, fingerprint_key
 
 _MS: Final = 1000
 _GUARANTEES: Final = MappingProxyType(
     {
-        'primary': Guarantee.CURRENT,
-        'bounded': Guarantee.BOUNDED,
-        'own_writes': Guarantee.OWN_CHANGES,
+        'primary': ConsistencyGuarantee.CURRENT,
+        'bounded': ConsistencyGuarantee.BOUNDED,
+        'own_writes': ConsistencyGuarantee.READ_YOUR_WRITES,
     },
 )
 
@@ -155,10 +155,10 @@
     )
 
 
-def _decode_tenants(raw: list[_Tenant] | None) -> WorkspaceBook | None:
+def _decode_tenants(raw: list[_Tenant] | None) -> WorkspaceDirectory | None:
     if raw is None:
         return None
-    return WorkspaceBook(
+    return WorkspaceDirectory(
         {
             tenant.name: Workspace(
                 tenant.name,
@@ -218,7 +218,7 @@
         service=raw.service,
         guarantee=_GUARANTEES[raw.kind],
         max_age=max_age,
-        statement_limit=raw.timeout_ms / _MS,
+        statement_timeout=raw.timeout_ms / _MS,
         objective=raw.objective_ms / _MS,
         priority=raw.priority,
         is_public=raw.public,
--- a/deckdrum/platform/duties.py
+++ b/deckdrum/platform/duties.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from deckdrum.leadership.duty import (
-    PromotionDuty,
-    PromotionOrder,
+from deckdrum.leadership.promotion_client import (
+    PromotionClient,
     PromotionOutcome,
+    PromotionRequest,
 )
 from deckdrum.utils import Address
 from deckdrum.utils.http import HttpClient, Request
@@ -24,13 +24,13 @@
         # The database does not run, or the fence is too low.
         409: PromotionOutcome.REFUSED,
         404: PromotionOutcome.REFUSED,
-        429: PromotionOutcome.TURNED_AWAY,
-        503: PromotionOutcome.TURNED_AWAY,
+        429: PromotionOutcome.NOT_ATTEMPTED,
+        503: PromotionOutcome.NOT_ATTEMPTED,
     },
 )
 
 
-class PlatformDuty(PromotionDuty):
+class PlatformDuty(PromotionClient):
     """Promotes databases through the platform.
 
     Parameters
@@ -44,7 +44,7 @@
 
     async def promote(
         self,
-        order: PromotionOrder,
+        order: PromotionRequest,
         limit: float,
     ) -> PromotionOutcome:
         """Give an order over a connection of its own."""
@@ -62,7 +62,7 @@
         try:
             reply = await client.call(request, limit)
         except ConnectionRefusedError:
-            return PromotionOutcome.TURNED_AWAY
+            return PromotionOutcome.NOT_ATTEMPTED
         except ConnectionError:
             # It may have been done; the database's own state tells.
             return PromotionOutcome.UNKNOWN
--- a/deckdrum/platform/frontend.py
+++ b/deckdrum/platform/frontend.py
@@ -6,7 +6,7 @@
 import curio
 
 from deckdrum.node import Node
-from deckdrum.node.stopping import Entrance
+from deckdrum.node.stopping import ClientListener
 from deckdrum.operations import Standing
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.platform.lines import LineError, LineReader
@@ -48,7 +48,7 @@
     @property
     def is_quiet(self) -> bool:
         """Whether nothing is asked and no transaction is open."""
-        is_resting = self._session is not None and self._session.is_at_rest
+        is_resting = self._session is not None and self._session.is_inactive
         has_bytes = self._reader.has_unread
         return is_resting and not has_bytes and self._stream.is_quiet()
 
@@ -83,7 +83,7 @@
             outcome = await session.execute(request)
             payload = encode_outcome(outcome, session.standing)
             await self._stream.send(payload)
-            if self._node.is_parting and session.is_at_rest:
+            if self._node.is_closing_sessions and session.is_inactive:
                 # The caller comes back to another node.
                 return
 
@@ -94,7 +94,7 @@
         if line is None:
             return None
         database, key = decode_startup(line)
-        if not await self._node.wait_configured(CONFIGURED_LIMIT):
+        if not await self._node.wait_for_configuration(CONFIGURED_LIMIT):
             refusal = refuse(Code.NOT_READY)
             await self._stream.send(encode_refusal(refusal))
             return None
@@ -112,7 +112,7 @@
             self._node.counters.count('broken_clients')
 
 
-class Frontend(Entrance):
+class Frontend(ClientListener):
     """Listens for clients.
 
     Parameters
--- a/deckdrum/platform/service.py
+++ b/deckdrum/platform/service.py
@@ -9,9 +9,9 @@
 import curio
 
 from deckdrum.commands.signals import STOPPING, catch_signals
-from deckdrum.fleet.policies import ALL_POLICIES, Policy, leave_out
+from deckdrum.fleet.policies import ALL_POLICIES, Policy, exclude_policies
 from deckdrum.node import Node
-from deckdrum.node.stopping import PlannedStop
+from deckdrum.node.stopping import GracefulShutdown
 from deckdrum.outcomes.errors import SettingsError
 from deckdrum.platform.backends import PlatformBackend
 from deckdrum.platform.duties import PlatformDuty
@@ -90,7 +90,7 @@
         while True:
             for number in await signals.recv(_SIGNAL_BYTES):
                 if number in STOPPING:
-                    stop = PlannedStop(self.node, self.frontend)
+                    stop = GracefulShutdown(self.node, self.frontend)
                     await stop.run(self._settings.grace)
                     return
                 self._reload()
@@ -150,7 +150,7 @@
     if option != '--without' or len(names) != 1:
         given = ' '.join(arguments)
         raise SettingsError(f'{given!r}, expected --without NAME,...')
-    return leave_out(names[0].split(','))
+    return exclude_policies(names[0].split(','))
 
 
 def main() -> int:
--- a/deckdrum/platform/settings.py
+++ b/deckdrum/platform/settings.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from deckdrum.control.departures import STANDARD_DRAIN_TIME
+from deckdrum.control.departures import DEFAULT_DRAIN_TIME_S
 from deckdrum.fleet.policies import ALL_POLICIES, Policy
 from deckdrum.fleet.settings import NodeSettings
 from deckdrum.load.limits import Tolerance
@@ -40,7 +40,7 @@
     quota_overrun: float = 0.1
     quota_slack: float = 20.0
     #: For how long a server that leaves serves on, in milliseconds.
-    drain_ms: float = STANDARD_DRAIN_TIME * _MS
+    drain_ms: float = DEFAULT_DRAIN_TIME_S * _MS
 
 
 class _Store(msgspec.Struct, rename='camel'):
--- a/deckdrum/proxy/admin.py
+++ b/deckdrum/proxy/admin.py
@@ -94,7 +94,7 @@
                 'platform_reachable': proxy.view.is_reachable,
                 'configuration': {
                     'number': proxy.view.number,
-                    'in_force_for': now - proxy.view.in_force_since,
+                    'in_force_for': now - proxy.view.active_since,
                 },
                 'peers': sorted(proxy.membership.proxies),
                 'services': services,
--- a/deckdrum/proxy/cancelling.py
+++ b/deckdrum/proxy/cancelling.py
@@ -6,7 +6,7 @@
     CancelCaller,
     CancelChannel,
 )
-from deckdrum.fleet.peers import Peers
+from deckdrum.fleet.peers import ProxyPeers
 from deckdrum.proxy.keeping import Keeping
 from deckdrum.proxy.registry import CallerRegistry, read_tag, tag_proxy
 from deckdrum.utils.metrics import Metrics
@@ -33,7 +33,7 @@
         self,
         membership: Membership,
         keeping: Keeping,
-        peers: Peers,
+        peers: ProxyPeers,
         registry: CallerRegistry,
         metrics: Metrics,
     ) -> None:
--- a/deckdrum/proxy/core.py
+++ b/deckdrum/proxy/core.py
@@ -10,7 +10,7 @@
 from deckdrum.configuration import DatabaseEntry, Document
 from deckdrum.databases import Credentials, Database, PostgresDatabase
 from deckdrum.fleet.membership import Membership
-from deckdrum.fleet.peers import Peers
+from deckdrum.fleet.peers import ProxyPeers
 from deckdrum.keepers.core import Surroundings
 from deckdrum.outcomes import Refusal
 from deckdrum.proxy.admin import AdminPort
@@ -65,7 +65,7 @@
         self.randomness: Random = Random(seed) if seed else SystemRandom()
         self.view = StoreView(store, journal, self.randomness)
         self.membership = Membership(self._describe_self())
-        self.peers = Peers(self.membership, self.randomness)
+        self.peers = ProxyPeers(self.membership, self.randomness)
         self.registry = CallerRegistry(settings.name, self.randomness)
         self.keeping = Keeping(self._describe_surroundings(), self.membership)
         self.spreader = Spreader(self.view, self.membership, self.peers)
@@ -279,5 +279,5 @@
             self.metrics,
             self.randomness,
             self._make_database,
-            self.peers.ask_reach,
+            self.peers.ask_reachability,
         )
--- a/deckdrum/proxy/opening.py
+++ b/deckdrum/proxy/opening.py
@@ -12,7 +12,7 @@
     Heartbeat,
     OpenChannel,
 )
-from deckdrum.fleet.peers import Peers
+from deckdrum.fleet.peers import ProxyPeers
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.proxy.keeping import Keeping
 from deckdrum.store import Instance
@@ -41,7 +41,7 @@
         self,
         membership: Membership,
         keeping: Keeping,
-        peers: Peers,
+        peers: ProxyPeers,
         metrics: Metrics,
     ) -> None:
         self._membership = membership
--- a/deckdrum/proxy/spreading.py
+++ b/deckdrum/proxy/spreading.py
@@ -7,9 +7,9 @@
 
 from deckdrum.fleet.membership import Membership
 from deckdrum.fleet.messages import ConfigurationAnswer
-from deckdrum.fleet.peers import Peers
+from deckdrum.fleet.peers import ProxyPeers
 from deckdrum.store.records import ConfigurationRecord, GroupRecord
-from deckdrum.store.view import HeldRecord, StoreView
+from deckdrum.store.view import StoreView, VersionedRecord
 from deckdrum.utils import Address
 
 #: How often a peer is asked while the platform is out, in seconds.
@@ -35,7 +35,7 @@
         self,
         view: StoreView,
         membership: Membership,
-        peers: Peers,
+        peers: ProxyPeers,
     ) -> None:
         self._view = view
         self._membership = membership
@@ -75,7 +75,7 @@
                 )
             for version, body in answer.records:
                 record = GroupRecord.decode(body)
-                self._view.adopt_record(HeldRecord(version, record))
+                self._view.adopt_record(VersionedRecord(version, record))
         except ValidationError:
             return
 
--- a/deckdrum/serving/holding.py
+++ b/deckdrum/serving/allocation.py
@@ -6,20 +6,20 @@
 
 from deckdrum.control import Member
 from deckdrum.fleet.borrowing import rank_lender
-from deckdrum.fleet.nodes import NodePeers
+from deckdrum.fleet.node_peers import NodePeers
 from deckdrum.fleet.policies import Policy
 from deckdrum.load.placement import (
-    Deal,
-    deal_connections,
-    pick_holders,
+    ConnectionAllocation,
+    allocate_connections,
     rank_holders,
+    select_holders,
 )
 from deckdrum.members import GroupShare
 from deckdrum.serving.servers import ServerHandle
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class AllocationInputs:
     """What the deal of a group's connections follows from.
 
     Attributes
@@ -41,7 +41,7 @@
     servers: frozenset[tuple[str, int]]
 
 
-class Holding:
+class ConnectionAllocator:
     """Deals the connections of one group among the nodes that stay.
 
     Parameters
@@ -71,11 +71,11 @@
         self._own = ''
         self._orders: dict[str, list[Member]] = {}
         #: What the connections were last dealt for.
-        self._dealt: Terms | None = None
+        self._dealt: AllocationInputs | None = None
 
     async def deal(
         self,
-        terms: 'Terms',
+        terms: 'AllocationInputs',
         own: Member,
         servers: Mapping[str, ServerHandle],
         shares: Mapping[str, GroupShare],
@@ -95,10 +95,10 @@
         """
         self._dealt = terms
         members = terms.members
-        staying = list_staying(own, members)
+        staying = list_remaining_nodes(own, members)
         holders: tuple[str, ...] = ()
         if Policy.FORWARDING in self._policies:
-            holders = pick_holders(
+            holders = select_holders(
                 self._service,
                 staying,
                 terms.max_connections,
@@ -106,7 +106,7 @@
             )
         self._adopt_holders(own, list(holders), members)
         for name, handle in servers.items():
-            deal = deal_connections(
+            deal = allocate_connections(
                 name,
                 staying,
                 terms.max_connections,
@@ -118,9 +118,9 @@
                 deal = deal.level()
             lenders = self._list_lenders(deal, own, members)
             held = deal.holders.get(own.name, 0)
-            await handle.adopt_deal(lenders, held, shares)
+            await handle.apply_allocation(lenders, held, shares)
 
-    def is_dealt(self, terms: 'Terms') -> bool:
+    def is_allocated_for(self, terms: 'AllocationInputs') -> bool:
         """Tell whether the connections were dealt on just these terms."""
         return self._dealt == terms
 
@@ -137,7 +137,7 @@
 
     def _list_lenders(
         self,
-        deal: Deal,
+        deal: ConnectionAllocation,
         own: Member,
         members: Mapping[str, Member],
     ) -> list[Member]:
@@ -159,7 +159,7 @@
     ) -> None:
         self.others = [members[name] for name in holders if name != own.name]
         self.others.sort(key=partial(rank_lender, own))
-        self._peers.health.rely_on(self._service, self.others)
+        self._peers.health.set_required_peers(self._service, self.others)
         self.is_holder = not holders or own.name in holders
         self._own = own.name
         self._orders.clear()
@@ -175,7 +175,7 @@
         return [others[name] for name in ranked]
 
 
-def list_staying(
+def list_remaining_nodes(
     own: Member,
     members: Mapping[str, Member],
 ) -> dict[str, str]:
--- a/deckdrum/serving/attempts.py
+++ b/deckdrum/serving/attempts.py
@@ -26,25 +26,25 @@
 from deckdrum.sessions import Position
 
 #: Least time for a connection and a statement, in seconds.
-_LEAST_TIME: Final = 0.005
+_MIN_ATTEMPT_TIMEOUT_S: Final = 0.005
 #: Longest wait until a statement can be sent, in seconds: more than that for
 #: one of few connections (0.25).  What was not sent may be tried another way,
 #: and with a limit of 1 s twice.
-PREPARE_LIMIT: Final = 0.4
+PREPARE_TIMEOUT_S: Final = 0.4
 #: Longest wait in this node's own queue of it, in seconds: the rest is for a
 #: new connection, so that one that does not come tells of the server.
-QUEUE_LIMIT: Final = 0.3
+POOL_QUEUE_TIMEOUT_S: Final = 0.3
 #: Times the patience with a server after which an answer counts as lost, if
 #: the server has answered others meanwhile; of a statement that leaves nothing
 #: behind, and of a change, which is in doubt then.
-LOST_AFTER: Final = 3
-CHANGE_LOST_AFTER: Final = 8
+READ_LOST_FACTOR: Final = 3
+CHANGE_LOST_FACTOR: Final = 8
 #: Longest wait for a rollback that frees a connection, in seconds.
-_ROLLBACK_LIMIT: Final = 0.3
+_ROLLBACK_TIMEOUT_S: Final = 0.3
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class NoAnswer:
     """No answer came.
 
     Attributes
@@ -62,7 +62,7 @@
     reason: str
 
 
-AttemptEnd = Answer | Rejection | Refusal | Lost
+AttemptEnd = Answer | Rejection | Refusal | NoAnswer
 
 
 @dataclass(slots=True, eq=False)
@@ -109,13 +109,13 @@
     async def run(self) -> AttemptEnd:
         """Run the statement; the connection is given back or kept."""
         self.started_at = await curio.clock()
-        limit = max(self.deadline - self.started_at, _LEAST_TIME)
+        limit = max(self.deadline - self.started_at, _MIN_ATTEMPT_TIMEOUT_S)
         try:
             async with curio.timeout_after(limit):
                 end = await self._run(limit)
         except curio.TaskTimeout:
             if self.handle.answered_at < self.started_at:
-                self.handle.note_silence(await curio.clock())
+                self.handle.record_timeout(await curio.clock())
             return await self._lose('no answer in time', is_late=True)
         except ConnectionError as error:
             if self.is_cut:
@@ -125,11 +125,13 @@
         except curio.CancelledError:
             await self._lose('cancelled', is_late=True)
             raise
-        if isinstance(end, Refusal | Lost):
+        if isinstance(end, Refusal | NoAnswer):
             return end
         now = await curio.clock()
         is_work = isinstance(end, Answer)
-        self.handle.note_answer(now, now - self.started_at if is_work else None)
+        self.handle.record_answer(
+            now, now - self.started_at if is_work else None
+        )
         if self.begin is None or not isinstance(end, Answer):
             await self._finish(end.standing)
         return end
@@ -163,10 +165,10 @@
 
     async def _run(self, limit: float) -> AttemptEnd:
         try:
-            async with curio.timeout_after(min(limit, PREPARE_LIMIT)):
-                refused = await self._make_ready(limit)
+            async with curio.timeout_after(min(limit, PREPARE_TIMEOUT_S)):
+                refused = await self._prepare_connection(limit)
         except curio.TaskTimeout:
-            self.handle.note_silence(await curio.clock())
+            self.handle.record_timeout(await curio.clock())
             return await self._lose('no connection in time', is_late=False)
         if refused is not None:
             return refused
@@ -187,7 +189,9 @@
         self.sent_at = float('inf')
         return end
 
-    async def _make_ready(self, limit: float) -> Rejection | Refusal | None:
+    async def _prepare_connection(
+        self, limit: float
+    ) -> Rejection | Refusal | None:
         """Get a connection that is ready for the statement.
 
         Returns
@@ -197,7 +201,7 @@
         """
         lease = await self.handle.acquire(
             self.state.database,
-            min(limit, QUEUE_LIMIT),
+            min(limit, POOL_QUEUE_TIMEOUT_S),
             self.state.values,
             max(0, self.due - self.started_at),
             self.state.workspace,
@@ -211,12 +215,12 @@
         opened = await lease.link.run(Call(self.begin, floor=self.floor))
         return opened if isinstance(opened, Rejection) else None
 
-    async def _lose(self, reason: str, *, is_late: bool) -> Lost:
+    async def _lose(self, reason: str, *, is_late: bool) -> NoAnswer:
         lease = self.lease
         self.lease = None
         if lease is not None:
             await self.handle.release(lease, is_clean=False)
-        return Lost(self.was_sent, is_late, reason)
+        return NoAnswer(self.was_sent, is_late, reason)
 
     async def _finish(self, standing: Standing) -> None:
         lease = self.lease
@@ -238,7 +242,7 @@
 async def _roll_back(link: BackendLink) -> bool:
     """Roll a connection back; tell whether it may be lent again."""
     try:
-        async with curio.timeout_after(_ROLLBACK_LIMIT):
+        async with curio.timeout_after(_ROLLBACK_TIMEOUT_S):
             reply = await link.run(Call(Rollback()))
     except (ConnectionError, curio.TaskTimeout):
         return False
--- a/deckdrum/serving/execution.py
+++ b/deckdrum/serving/execution.py
@@ -5,39 +5,47 @@
 
 import curio
 
-from deckdrum.control import Guarantee, Route
+from deckdrum.control import ConsistencyGuarantee, Route
 from deckdrum.fleet.policies import Policy
 from deckdrum.operations import Answer, Begin, Effect, Rejection, Request
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.outcomes.errors import BrokenInvariantError
 from deckdrum.serving.attempts import (
-    CHANGE_LOST_AFTER,
-    LOST_AFTER,
+    CHANGE_LOST_FACTOR,
+    READ_LOST_FACTOR,
     Attempt,
-    Lost,
+    NoAnswer,
+)
+from deckdrum.serving.retries import (
+    RETRY_BUDGET_CAPACITY,
+    RetryBudget,
+    RetryPolicy,
 )
-from deckdrum.serving.retries import RETRY_RESERVE, RetryBudget, RetryPolicy
 from deckdrum.serving.routing import Router, Target
-from deckdrum.serving.runners import Begun, StatementRunner
-from deckdrum.serving.searches import EndedTry, Search, drop_late
+from deckdrum.serving.runners import StartedTransaction, StatementRunner
+from deckdrum.serving.searches import (
+    Dispatch,
+    FinishedAttempt,
+    release_late_attempt,
+)
 from deckdrum.serving.service import ServiceRuntime
-from deckdrum.serving.state import Pin, SessionState
+from deckdrum.serving.state import PinnedConnection, SessionState
 from deckdrum.sessions import Position
 
 #: Time kept at the end of a statement's limit for the answer to arrive, in s.
-ANSWER_MARGIN: Final = 0.04
+ANSWER_MARGIN_S: Final = 0.04
 #: Silence of a server after which it is looked at, and a read is tried on
 #: another server, in seconds; several times a usual statement (6 to 40 ms).
-SILENCE: Final = 0.25
+UNRESPONSIVE_AFTER_S: Final = 0.25
 #: Part of the time after which a read is tried elsewhere although its server
 #: answers others: its answer may be lost.
-LOST_ANSWER_PART: Final = 0.4
+HEDGE_AFTER_FRACTION: Final = 0.4
 #: Longest wait for a primary while another server works on a read, in s.
-HEDGE_WAIT: Final = 0.02
+HEDGE_PRIMARY_TIMEOUT_S: Final = 0.02
 #: Tries of one statement; more means that something is wrong beyond luck.
-MAX_TRIES: Final = 12
+MAX_ATTEMPTS: Final = 12
 #: Most servers that work on one read at a time.
-MAX_RUNNING: Final = 3
+MAX_CONCURRENT_ATTEMPTS: Final = 3
 
 
 class Execution(StatementRunner):
@@ -55,7 +63,7 @@
         self.runtime = runtime
         self._router = router
         self._policies = runtime.policies
-        reserve = RETRY_RESERVE
+        reserve = RETRY_BUDGET_CAPACITY
         if Policy.RETRY_BUDGET not in self._policies:
             reserve = math.inf
         self._budget = RetryBudget(reserve)
@@ -71,12 +79,12 @@
         """Run a statement outside a transaction."""
         is_read = effect is Effect.READ
         search = await self._start(request, route, state, None, is_read)
-        ended = await self._search_to_end(search, route)
+        ended = await self._run_dispatch(search, route)
         if isinstance(ended, Refusal):
             return ended
         if is_read:
             return ended[1]
-        return await self.vouch(ended[1], ended[0].target.term, state)
+        return await self.confirm_change(ended[1], ended[0].target.term, state)
 
     async def begin(
         self,
@@ -84,48 +92,54 @@
         begin: Begin,
         route: Route,
         state: SessionState,
-    ) -> Begun | Refusal:
+    ) -> StartedTransaction | Refusal:
         """Open a transaction on a server with its first statement."""
         is_read = begin.read_only
         search = await self._start(request, route, state, begin, is_read)
-        ended = await self._search_to_end(search, route)
+        ended = await self._run_dispatch(search, route)
         if isinstance(ended, Refusal):
             return ended
         target = ended[0].target
         lease = ended[0].attempt.lease
         if lease is None:
             raise BrokenInvariantError('a transaction without a connection')
-        pin = Pin(target.handle, lease, target.term, target.is_primary)
-        return Begun(ended[1], pin)
+        pin = PinnedConnection(
+            target.handle, lease, target.term, target.is_primary
+        )
+        return StartedTransaction(ended[1], pin)
 
-    async def vouch(
+    async def confirm_change(
         self,
         answer: Answer,
         term: int,
         state: SessionState,
     ) -> Answer | Refusal:
         """Release the answer of a change only if its term has not ended."""
-        belief = self.runtime.belief
-        is_released = belief.may_release(term, await curio.clock())
-        if not is_released and belief.term == term:
-            await self.runtime.prove()
-            is_released = belief.may_release(term, await curio.clock())
+        leadership_state = self.runtime.leadership_state
+        is_released = leadership_state.can_acknowledge(
+            term, await curio.clock()
+        )
+        if not is_released and leadership_state.term == term:
+            await self.runtime.renew_proof()
+            is_released = leadership_state.can_acknowledge(
+                term, await curio.clock()
+            )
         if not is_released:
             self.runtime.counters.count('unvouched_changes')
             self.runtime.journal.record_often(
                 'change.unvouched',
                 service=self.runtime.name,
                 term=term,
-                known_term=belief.term,
-                ended_term=belief.ended_term,
-                closed_term=belief.closed_term,
-                proof_until=belief.read_valid_until(),
+                known_term=leadership_state.term,
+                ended_term=leadership_state.ended_term,
+                closed_term=leadership_state.closed_term,
+                proof_until=leadership_state.get_proof_expiry(),
             )
             return refuse(Code.UNCONFIRMED, f'term {term} has ended')
         state.note_change(answer)
         return answer
 
-    def explain(self, refusal: Refusal, search: Search) -> None:
+    def explain(self, refusal: Refusal, search: Dispatch) -> None:
         """Log why a request got no success."""
         self.runtime.journal.record_often(
             'request.refused',
@@ -134,8 +148,8 @@
             workspace=search.state.workspace,
             code=refusal.code,
             fate=refusal.fate,
-            term=self.runtime.belief.term,
-            primary=self.runtime.belief.primary,
+            term=self.runtime.leadership_state.term,
+            primary=self.runtime.leadership_state.primary,
             reason=search.describe(),
         )
 
@@ -146,13 +160,13 @@
         state: SessionState,
         begin: Begin | None,
         is_read: bool,
-    ) -> Search:
-        await self.runtime.admit_group(route)
+    ) -> Dispatch:
+        await self.runtime.set_route_share(route)
         now = await curio.clock()
-        limit = route.statement_limit - ANSWER_MARGIN
+        limit = route.statement_timeout - ANSWER_MARGIN_S
         # Current reads run on the primary alone.
-        is_current = route.guarantee is Guarantee.CURRENT
-        return Search(
+        is_current = route.guarantee is ConsistencyGuarantee.CURRENT
+        return Dispatch(
             request,
             state,
             begin,
@@ -162,31 +176,31 @@
             now + limit,
         )
 
-    async def _search_to_end(
+    async def _run_dispatch(
         self,
-        search: Search,
+        search: Dispatch,
         route: Route,
-    ) -> tuple[EndedTry, Answer] | Refusal:
+    ) -> tuple[FinishedAttempt, Answer] | Refusal:
         """Search, and free what tries that come too late have taken."""
         try:
-            return await self._search(search, route)
+            return await self._dispatch_until_answered(search, route)
         finally:
             search.is_over = True
             while not search.ends.empty():
-                await drop_late(await search.ends.get())
+                await release_late_attempt(await search.ends.get())
 
-    async def _search(
+    async def _dispatch_until_answered(
         self,
-        search: Search,
+        search: Dispatch,
         route: Route,
-    ) -> tuple[EndedTry, Answer] | Refusal:
+    ) -> tuple[FinishedAttempt, Answer] | Refusal:
         """Try servers until one answers with success."""
         while True:
             refusal = await self._launch(search, route)
             if refusal is not None and not search.running:
                 self.explain(refusal, search)
                 return refusal
-            ended = await self._await_end(search)
+            ended = await self._await_result(search)
             if ended is None:
                 continue
             if isinstance(ended.end, Answer):
@@ -197,31 +211,31 @@
                 self.explain(refusal, search)
                 return refusal
 
-    async def _launch(self, search: Search, route: Route) -> Refusal | None:
+    async def _launch(self, search: Dispatch, route: Route) -> Refusal | None:
         """Start one more try; return a refusal if there can be none."""
         now = await curio.clock()
         remaining = search.deadline - now
-        if remaining <= 0 or search.tries >= MAX_TRIES:
+        if remaining <= 0 or search.tries >= MAX_ATTEMPTS:
             return self._retries.give_up(search, now)
         target = await self._choose(search, route, remaining)
         if target is None:
             return self._retries.give_up(search, now)
-        if search.running and target.handle.id in search.passed_over:
+        if search.running and target.handle.id in search.excluded_servers:
             # The only server that may run it works on it already.
             return None
         if target.is_primary and target.handle.is_dark:
             # Known at once: another node may reach it, and is asked for that.
-            self.runtime.report_trouble(target.handle)
+            self.runtime.report_server_failure(target.handle)
             if search.may_have_run:
                 return self._retries.give_up(search, now)
             return refuse(Code.NO_PRIMARY, 'it does not answer this node')
         if target.handle.server.is_draining:
-            self._note_leaving(search, target, now)
+            self._log_draining_server(search, target, now)
         search.tries += 1
         # A second try beside this one goes to another server.
-        search.passed_over.add(target.handle.id)
+        search.excluded_servers.add(target.handle.id)
         if not target.is_primary:
-            await curio.spawn(self._router.keep_sampled, route, daemon=True)
+            await curio.spawn(self._router.refresh_sample, route, daemon=True)
         attempt = Attempt(
             target.handle,
             search.state,
@@ -238,9 +252,9 @@
         )
         return None
 
-    def _note_leaving(
+    def _log_draining_server(
         self,
-        search: Search,
+        search: Dispatch,
         target: Target,
         now: float,
     ) -> None:
@@ -258,25 +272,25 @@
 
     async def _choose(
         self,
-        search: Search,
+        search: Dispatch,
         route: Route,
         remaining: float,
     ) -> Target | None:
         if search.running:
             # The other server may answer meanwhile.
-            remaining = min(remaining, HEDGE_WAIT)
+            remaining = min(remaining, HEDGE_PRIMARY_TIMEOUT_S)
         if search.is_read:
             return await self._router.choose_reader(
                 route,
                 search.state,
-                search.passed_over,
+                search.excluded_servers,
                 remaining,
             )
         return await self._router.choose_primary(remaining)
 
     async def _run_attempt(
         self,
-        search: Search,
+        search: Dispatch,
         attempt: Attempt,
         target: Target,
     ) -> None:
@@ -287,13 +301,13 @@
         finally:
             if target.is_primary:
                 self.runtime.in_flight -= 1
-        if isinstance(end, Lost):
-            self.runtime.report_trouble(attempt.handle)
+        if isinstance(end, NoAnswer):
+            self.runtime.report_server_failure(attempt.handle)
         elif not isinstance(end, Refusal):
             self._note_position(attempt, target, end)
-        ended = EndedTry(attempt, target, end)
+        ended = FinishedAttempt(attempt, target, end)
         if search.is_over:
-            await drop_late(ended)
+            await release_late_attempt(ended)
         else:
             await search.ends.put(ended)
 
@@ -311,39 +325,45 @@
         if end.position is None:
             return
         if not target.is_primary:
-            self._note_replica(target.handle.id, end.position)
+            self._note_replica_position(target.handle.id, end.position)
             return
         if isinstance(end, Rejection) and not end.tells_position:
             return
-        self.runtime.note_position(end.position, attempt.started_at)
+        self.runtime.record_position(end.position, attempt.started_at)
 
-    def _note_replica(self, name: str, position: Position) -> None:
+    def _note_replica_position(self, name: str, position: Position) -> None:
         """Take where a replica's log stands as proof of the term."""
         if Policy.PROOF_FROM_READS not in self._policies:
             return
         history = self.runtime.history
         if position.term == history.term:
-            since = history.find_last_below(position.offset)
-            self.runtime.belief.note_received(name, position.term, since)
+            since = history.find_last_seen_below(position.offset)
+            self.runtime.leadership_state.record_replicated_change(
+                name, position.term, since
+            )
 
-    async def _await_end(self, search: Search) -> EndedTry | None:
+    async def _await_result(self, search: Dispatch) -> FinishedAttempt | None:
         """Return the next end of a try; None to try another server too."""
         began = await curio.clock()
         while True:
-            async with curio.ignore_after(search.find_pause(SILENCE)):
-                ended: EndedTry = await search.ends.get()
+            async with curio.ignore_after(
+                search.find_pause(UNRESPONSIVE_AFTER_S)
+            ):
+                ended: FinishedAttempt = await search.ends.get()
                 search.running.remove(ended.attempt)
                 return ended
             now = await curio.clock()
-            await self._cut_lost(search, now)
-            if self._should_try_another(search, began, now):
+            await self._abandon_lost(search, now)
+            if self._should_hedge(search, began, now):
                 return None
 
-    async def _cut_lost(self, search: Search, now: float) -> None:
+    async def _abandon_lost(self, search: Dispatch, now: float) -> None:
         """Give up tries whose answers are lost; each frees a connection."""
         if Policy.LOST_ANSWERS not in self._policies:
             return
-        patience = LOST_AFTER if search.is_repeatable else CHANGE_LOST_AFTER
+        patience = (
+            READ_LOST_FACTOR if search.is_repeatable else CHANGE_LOST_FACTOR
+        )
         for attempt in search.running:
             if search.is_repeatable and attempt.handle.is_dark:
                 await attempt.cut()
@@ -362,9 +382,9 @@
             )
             await attempt.cut()
 
-    def _should_try_another(
+    def _should_hedge(
         self,
-        search: Search,
+        search: Dispatch,
         began: float,
         now: float,
     ) -> bool:
@@ -374,22 +394,27 @@
             for handle in self.runtime.servers.values()
             if handle.load and handle.answered_at <= began
         ]
-        if now - began < SILENCE:
+        if now - began < UNRESPONSIVE_AFTER_S:
             silent = []
         for handle in silent:
-            self.runtime.report_trouble(handle)
+            self.runtime.report_server_failure(handle)
         if Policy.HEDGED_READS not in self._policies:
             return False
-        if not search.may_spread or len(search.running) >= MAX_RUNNING:
+        if (
+            not search.may_hedge
+            or len(search.running) >= MAX_CONCURRENT_ATTEMPTS
+        ):
             return False
         is_overdue = any(each.is_overdue(now) for each in search.running)
-        half_time = (search.deadline - began) * LOST_ANSWER_PART
+        half_time = (search.deadline - began) * HEDGE_AFTER_FRACTION
         if not silent and not is_overdue and now - began < half_time:
             return False
         return now < search.deadline and self._budget.take()
 
-    async def _note_success(self, search: Search, ended: EndedTry) -> None:
-        self._budget.note_success()
+    async def _note_success(
+        self, search: Dispatch, ended: FinishedAttempt
+    ) -> None:
+        self._budget.record_success()
         target = ended.target
         role = 'primary' if target.is_primary else 'replica'
         kind = 'read' if search.is_read else 'change'
@@ -405,7 +430,9 @@
             role=role,
             term=target.term,
             floor=str(target.floor),
-            proof_left=round(self.runtime.belief.read_valid_until() - now, 3),
+            proof_left=round(
+                self.runtime.leadership_state.get_proof_expiry() - now, 3
+            ),
             tries=search.tries,
             seconds=round(now - search.began, 3),
         )
--- a/deckdrum/serving/proofs.py
+++ b/deckdrum/serving/proofs.py
@@ -7,12 +7,12 @@
 import curio
 
 from deckdrum.control import ControlStore, Kind, Member
-from deckdrum.fleet.nodes import NodePeers
-from deckdrum.fleet.questions import AskProof, ProofAnswer
-from deckdrum.leadership.belief import (
-    RENEW_BELOW,
-    VALIDITY,
-    LeadershipBelief,
+from deckdrum.fleet.node_messages import AskProof, ProofAnswer
+from deckdrum.fleet.node_peers import NodePeers
+from deckdrum.leadership.state import (
+    PROOF_LIFETIME_S,
+    PROOF_RENEWAL_THRESHOLD_S,
+    LeadershipState,
 )
 from deckdrum.outcomes.errors import StoreError
 from deckdrum.store.records import GroupRecord
@@ -25,14 +25,14 @@
 #: samples the primary, for all.  Messages within a data centre cost next to
 #: nothing; a question takes a place at a server.  Saves four tenths of the
 #: questions of seven nodes in three data centres (one calm day each).
-COLLECTED_FROM: Final = 2
+MIN_NODES_FOR_COLLECTOR: Final = 2
 #: Age of proof up to which it is handed to peers without asking again, in s.
-SHARED_AGE: Final = 0.3
+MAX_SHARED_AGE_S: Final = 0.3
 #: Silence of one source of proof after which the next is asked, in seconds;
 #: several round trips.
-SOURCE_PAUSE: Final = 0.08
+SOURCE_TIMEOUT_S: Final = 0.08
 #: Longest wait for proof once every source was asked, in seconds.
-PROOF_LIMIT: Final = 0.3
+PROOF_TIMEOUT_S: Final = 0.3
 #: Pause between two looks for proof that is on its way, in seconds.
 _POLL: Final = 0.005
 
@@ -58,14 +58,14 @@
 
     def __init__(
         self,
-        belief: LeadershipBelief,
+        leadership_state: LeadershipState,
         list_questions: Callable[[], list[Source]],
         store: ControlStore,
         peers: NodePeers,
         journal: Journal,
         counters: Counters,
     ) -> None:
-        self._belief = belief
+        self._belief = leadership_state
         self._list_questions = list_questions
         self._store = store
         self._peers = peers
@@ -88,16 +88,16 @@
         name = self._belief.service
         self.collector = _pick_collector(name, own, members, staying)
 
-    async def tell_age(self, term: int) -> float:
+    async def fetch_age(self, term: int) -> float:
         """Return the age of this node's proof in seconds; -1 without any."""
-        age = self._belief.read_age(await curio.clock())
-        if age > SHARED_AGE:
-            await self.renew(VALIDITY - SHARED_AGE)
-            age = self._belief.read_age(await curio.clock())
+        age = self._belief.get_proof_age(await curio.clock())
+        if age > MAX_SHARED_AGE_S:
+            await self.renew(PROOF_LIFETIME_S - MAX_SHARED_AGE_S)
+            age = self._belief.get_proof_age(await curio.clock())
         has_proof = self._belief.has_primary and self._belief.term == term
-        return max(0, age) if has_proof and age < VALIDITY else -1
+        return max(0, age) if has_proof and age < PROOF_LIFETIME_S else -1
 
-    async def renew(self, wanted: float = RENEW_BELOW) -> bool:
+    async def renew(self, wanted: float = PROOF_RENEWAL_THRESHOLD_S) -> bool:
         """Get proof that the term has not ended; tell whether there is.
 
         Callers that come meanwhile wait for the same proof.
@@ -119,15 +119,15 @@
         finally:
             if self._renewing is task and task.terminated:
                 self._renewing = None
-        return self._belief.is_valid(await curio.clock())
+        return self._belief.is_primary_usable(await curio.clock())
 
-    async def renew_early(self, now: float) -> None:
+    async def renew_if_expiring(self, now: float) -> None:
         """Begin to get fresh proof if the present one ends soon."""
-        remaining = self._belief.read_valid_until() - now
-        if remaining < RENEW_BELOW and self._renewing is None:
+        remaining = self._belief.get_proof_expiry() - now
+        if remaining < PROOF_RENEWAL_THRESHOLD_S and self._renewing is None:
             self._renewing = await curio.spawn(
                 self._renew,
-                RENEW_BELOW,
+                PROOF_RENEWAL_THRESHOLD_S,
                 daemon=True,
             )
 
@@ -147,12 +147,12 @@
         try:
             for source in sources:
                 task = await curio.spawn(source, daemon=True)
-                async with curio.ignore_after(SOURCE_PAUSE):
+                async with curio.ignore_after(SOURCE_TIMEOUT_S):
                     await task.wait()
-                if self._belief.read_valid_until() >= wanted:
+                if self._belief.get_proof_expiry() >= wanted:
                     return
-            async with curio.ignore_after(PROOF_LIMIT):
-                while self._belief.read_valid_until() < wanted:
+            async with curio.ignore_after(PROOF_TIMEOUT_S):
+                while self._belief.get_proof_expiry() < wanted:
                     await curio.sleep(_POLL)
         finally:
             self._renewing = None
@@ -170,7 +170,7 @@
         if isinstance(answer, ProofAnswer) and answer.age >= 0:
             # The peer's proof is from before the answer, so at most this
             # much older than the question.
-            self._belief.note_handed(term, asked_at - answer.age)
+            self._belief.record_peer_proof(term, asked_at - answer.age)
             self._counters.count('proofs_by_collector')
 
     async def _prove_by_store(self) -> None:
@@ -187,9 +187,9 @@
             )
             return
         if entry is None:
-            await self._belief.note_store(0, None, asked_at)
+            await self._belief.record_store_answer(0, None, asked_at)
         elif isinstance(entry.record, GroupRecord):
-            await self._belief.note_store(
+            await self._belief.record_store_answer(
                 entry.revision,
                 entry.record,
                 asked_at,
@@ -219,7 +219,7 @@
     near = [
         name for name, centre in staying.items() if centre == own.data_centre
     ]
-    if len(near) < COLLECTED_FROM:
+    if len(near) < MIN_NODES_FOR_COLLECTOR:
         return None
     first = min(near, key=partial(weigh, service))
     return None if first == own.name else members.get(first)
--- a/deckdrum/serving/retries.py
+++ b/deckdrum/serving/retries.py
@@ -8,17 +8,17 @@
 from deckdrum.operations import Answer, Rejection, RejectionCause
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.outcomes.errors import BrokenInvariantError
-from deckdrum.serving.attempts import Lost
+from deckdrum.serving.attempts import NoAnswer
 from deckdrum.serving.routing import Target
-from deckdrum.serving.searches import EndedTry, Search
+from deckdrum.serving.searches import Dispatch, FinishedAttempt
 from deckdrum.serving.service import ServiceRuntime
 
 #: Longest pause after every server has refused, in seconds.
 LONGEST_PAUSE: Final = 0.08
 #: Statements at a moment that may be tried again on account of failures,
 #: refilled by each success; keeps retries a small part of the load.
-RETRY_RESERVE: Final = 20.0
-RETRY_REFILL: Final = 0.1
+RETRY_BUDGET_CAPACITY: Final = 20.0
+RETRY_REFILL_FRACTION: Final = 0.1
 
 
 class RetryBudget:
@@ -29,22 +29,22 @@
     >>> budget = RetryBudget(reserve=1, refill=0.5)
     >>> budget.take(), budget.take()
     (True, False)
-    >>> budget.note_success()
-    >>> budget.note_success()
+    >>> budget.record_success()
+    >>> budget.record_success()
     >>> budget.take()
     True
     """
 
     def __init__(
         self,
-        reserve: float = RETRY_RESERVE,
-        refill: float = RETRY_REFILL,
+        reserve: float = RETRY_BUDGET_CAPACITY,
+        refill: float = RETRY_REFILL_FRACTION,
     ) -> None:
         self._reserve = reserve
         self._refill = refill
         self._left = reserve
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Earn a part of a retry."""
         self._left = min(self._reserve, self._left + self._refill)
 
@@ -73,15 +73,15 @@
 
     async def weigh(
         self,
-        search: Search,
-        ended: EndedTry,
+        search: Dispatch,
+        ended: FinishedAttempt,
     ) -> Refusal | None:
         """Decide after a failed try: a refusal, or None to go on."""
         end = ended.end
         if isinstance(end, Answer):
             raise BrokenInvariantError('a success is no failed try')
         search.last = end
-        if isinstance(end, Lost) and end.was_sent:
+        if isinstance(end, NoAnswer) and end.was_sent:
             search.may_have_run = True
         now = await curio.clock()
         if isinstance(end, Rejection):
@@ -96,7 +96,7 @@
         code = Code.TIMED_OUT if end.is_late else Code.CONNECTION_LOST
         return refuse(code, end.reason)
 
-    def give_up(self, search: Search, now: float) -> Refusal:
+    def give_up(self, search: Dispatch, now: float) -> Refusal:
         """Return the refusal for a statement that nobody has run by `now`."""
         last = search.last
         if search.may_have_run:
@@ -109,7 +109,7 @@
         primary = self._runtime.primary
         if primary is None:
             return refuse(Code.NO_PRIMARY, f'service {self._runtime.name}')
-        if primary.departure.has_left(now):
+        if primary.departure.is_past_cutoff(now):
             return refuse(Code.NO_PRIMARY, 'it has left, and none follows')
         code = Code.QUEUE_TIMEOUT
         if search.is_read:
@@ -118,18 +118,18 @@
 
     async def _weigh_rejection(
         self,
-        search: Search,
-        ended: EndedTry,
+        search: Dispatch,
+        ended: FinishedAttempt,
         end: Rejection,
         now: float,
     ) -> Refusal | None:
         handle = ended.target.handle
         if end.cause is RejectionCause.BEHIND and ended.target.floor:
             if Policy.REPLICA_PAUSES in self._runtime.policies:
-                handle.lag.note_behind(ended.target.floor, now)
+                handle.lag.record_lag(ended.target.floor, now)
             return None
         if end.cause is RejectionCause.NOT_PRIMARY:
-            await self._runtime.belief.lose_primary(
+            await self._runtime.leadership_state.clear_primary(
                 handle.id, 'it refuses changes'
             )
             return await self._rest(search, ended.target)
@@ -148,14 +148,14 @@
 
     async def _rest(
         self,
-        search: Search,
+        search: Dispatch,
         target: Target,
     ) -> Refusal | None:
         """Pause unless another server is left that may run the statement."""
         if not target.is_primary:
             # The next replica, or the primary if there is none.
             return None
-        search.passed_over.clear()
+        search.excluded_servers.clear()
         now = await curio.clock()
         if now + search.pause >= search.deadline:
             return self.give_up(search, now)
--- a/deckdrum/serving/routing.py
+++ b/deckdrum/serving/routing.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from deckdrum.control import Guarantee, Route
+from deckdrum.control import ConsistencyGuarantee, Route
 from deckdrum.fleet.policies import Policy
 from deckdrum.load.placement import rank_replicas
 from deckdrum.serving.servers import ServerHandle
@@ -18,29 +18,29 @@
 
 #: Safety margin under the accepted age, in seconds: time that a read may
 #: wait in the server's queue does not count, the way there does.
-AGE_MARGIN: Final = 0.1
+AGE_MARGIN_S: Final = 0.1
 #: Part of the accepted age after which a new sample of the primary is taken.
-SAMPLE_PART: Final = 0.4
+SAMPLE_AGE_FRACTION: Final = 0.4
 #: Longest wait of a read for a sample of the primary, in seconds.
 SAMPLE_WAIT: Final = 0.15
 #: What another data centre costs beside a server's time, as a part of the
 #: route's objective: a read waits as long for a near server if that leaves it
 #: well within its time, since the bytes of its answer are paid for.  Saves a
 #: tenth of the bytes between data centres on a calm day (one run each).
-DISTANCE_PART: Final = 0.1
+REMOTE_COST_FRACTION: Final = 0.1
 #: The most that it counts, in seconds: about three times a usual statement, so
 #: that reads with much time do not queue where others have little.
-MOST_DISTANCE: Final = 0.05
+MAX_REMOTE_COST_S: Final = 0.05
 #: What a borrowed connection costs beside, in seconds: the messages of a loan,
 #: there and back, and the work of two nodes.  An estimate, not measured.
-LOAN_COST: Final = 0.005
+BORROWING_COST_S: Final = 0.005
 #: What the primary costs beside its time, in seconds; it alone can change
 #: data, so reads leave it alone while replicas have room.
-PRIMARY_COST: Final = 0.05
+PRIMARY_COST_S: Final = 0.05
 #: Time of a statement that is expected of a server without samples, in s.
-_FIRST_TIME: Final = 0.01
+_DEFAULT_STATEMENT_TIME_S: Final = 0.01
 #: Time in which what was learnt of a server fades by half, in seconds.
-_FADE_TIME: Final = 1.0
+_STATEMENT_TIME_HALF_LIFE_S: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,13 +77,13 @@
         handle = await self._runtime.ensure_primary(limit)
         if handle is None:
             return None
-        return Target(handle, None, True, self._runtime.belief.term)
+        return Target(handle, None, True, self._runtime.leadership_state.term)
 
     async def choose_reader(
         self,
         route: Route,
         state: SessionState,
-        passed_over: Container[str],
+        excluded_servers: Container[str],
         limit: float,
     ) -> Target | None:
         """Return a server that may run a read, or None after `limit` s.
@@ -99,7 +99,7 @@
         limit : float
             Longest wait for the primary in seconds.
         """
-        if route.guarantee is Guarantee.CURRENT:
+        if route.guarantee is ConsistencyGuarantee.CURRENT:
             return await self.choose_primary(limit)
         floor = await self._find_floor(route, state)
         if floor is None and Policy.SAMPLE_WAIT in self._runtime.policies:
@@ -110,7 +110,7 @@
         if floor is not None:
             replica = await self._pick_replica(
                 floor,
-                passed_over,
+                excluded_servers,
                 route.objective,
                 state.workspace,
             )
@@ -118,9 +118,9 @@
                 return Target(replica, floor, False, floor.term)
         return await self.choose_primary(limit)
 
-    async def keep_sampled(self, route: Route) -> None:
+    async def refresh_sample(self, route: Route) -> None:
         """Sample the primary if bounded reads will need it soon."""
-        wanted = route.max_age * SAMPLE_PART
+        wanted = route.max_age * SAMPLE_AGE_FRACTION
         if await self._runtime.find_floor(wanted) is None:
             await self._runtime.samples.take()
 
@@ -129,28 +129,28 @@
         route: Route,
         state: SessionState,
     ) -> Position | None:
-        floor = await self._runtime.find_floor(route.max_age - AGE_MARGIN)
+        floor = await self._runtime.find_floor(route.max_age - AGE_MARGIN_S)
         if floor is None:
             return None
-        if route.guarantee is Guarantee.OWN_CHANGES:
+        if route.guarantee is ConsistencyGuarantee.READ_YOUR_WRITES:
             return max(floor, state.floor)
         return max(floor, NOWHERE)
 
     async def _pick_replica(
         self,
         floor: Position,
-        passed_over: Container[str],
+        excluded_servers: Container[str],
         objective: float,
         workspace: str,
     ) -> ServerHandle | None:
         now = await curio.clock()
-        distance = min(DISTANCE_PART * objective, MOST_DISTANCE)
+        distance = min(REMOTE_COST_FRACTION * objective, MAX_REMOTE_COST_S)
         if Policy.NEAR_READS not in self._runtime.policies:
             distance = 0
         fitting = [
             handle
             for handle in self._runtime.replicas
-            if handle.id not in passed_over
+            if handle.id not in excluded_servers
             and not handle.server.is_draining
             and not handle.is_avoided(now)
             and not handle.lag.is_behind(floor, now)
@@ -166,7 +166,7 @@
             return best
         # A busy replica leaves the read to an idle primary.
         # Distance does not count here: bytes are no reason to load a primary.
-        cost = self._rank(primary, now, 0, workspace) + PRIMARY_COST
+        cost = self._rank(primary, now, 0, workspace) + PRIMARY_COST_S
         return None if cost < self._rank(best, now, 0, workspace) else best
 
     def _is_preferred(self, handle: ServerHandle, workspace: str) -> bool:
@@ -194,10 +194,10 @@
         connection of the workspace it costs the time to open one.
         """
         idle = max(0, now - handle.answered_at)
-        fade = math.exp2(-idle / _FADE_TIME)
-        usual = max(_FIRST_TIME, handle.usual_time * fade)
+        fade = math.exp2(-idle / _STATEMENT_TIME_HALF_LIFE_S)
+        usual = max(_DEFAULT_STATEMENT_TIME_S, handle.usual_time * fade)
         way = 0 if self._is_preferred(handle, workspace) else distance
-        hop = 0 if handle.is_holder else LOAN_COST
+        hop = 0 if handle.is_holder else BORROWING_COST_S
         opening = _find_opening(handle, workspace)
         return (handle.load + 1) * usual + way + hop + opening
 
@@ -209,4 +209,4 @@
     """
     if not workspace or handle.pool.has_idle(workspace):
         return 0
-    return handle.own.opening_time
+    return handle.own.mean_connect_time
--- a/deckdrum/serving/runners.py
+++ b/deckdrum/serving/runners.py
@@ -6,18 +6,22 @@
 from deckdrum.control import Route
 from deckdrum.operations import Answer, Begin, Effect, Request
 from deckdrum.outcomes import Refusal
-from deckdrum.serving.state import ForwardedTransaction, Pin, SessionState
+from deckdrum.serving.state import (
+    ForwardedTransaction,
+    PinnedConnection,
+    SessionState,
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class StartedTransaction:
     """A transaction that has begun with its first statement.
 
     It runs on a connection of this node, or at another node.
     """
 
     answer: Answer
-    pin: Pin | None = None
+    pin: PinnedConnection | None = None
     forwarded: ForwardedTransaction | None = None
 
 
@@ -41,5 +45,5 @@
         begin: Begin,
         route: Route,
         state: SessionState,
-    ) -> Begun | Refusal:
+    ) -> StartedTransaction | Refusal:
         """Open a transaction with its first statement."""
--- a/deckdrum/serving/samples.py
+++ b/deckdrum/serving/samples.py
@@ -5,17 +5,17 @@
 
 import curio
 
-from deckdrum.backends.history import History
+from deckdrum.backends.position_history import History
 from deckdrum.control import Member
-from deckdrum.fleet.nodes import NodePeers
-from deckdrum.fleet.questions import AskSample, SampleAnswer
-from deckdrum.leadership.belief import VALIDITY, LeadershipBelief
-from deckdrum.serving.proofs import SHARED_AGE
+from deckdrum.fleet.node_messages import AskSample, SampleAnswer
+from deckdrum.fleet.node_peers import NodePeers
+from deckdrum.leadership.state import PROOF_LIFETIME_S, LeadershipState
+from deckdrum.serving.proofs import MAX_SHARED_AGE_S
 from deckdrum.utils.counters import Counters
 from deckdrum.utils.tasks import SharedCall
 
 #: Longest wait for a peer's sample of the primary, in seconds.
-SAMPLE_LIMIT: Final = 0.25
+SAMPLE_TIMEOUT_S: Final = 0.25
 
 
 class PrimarySampler:
@@ -43,14 +43,14 @@
 
     def __init__(
         self,
-        belief: LeadershipBelief,
+        leadership_state: LeadershipState,
         history: History,
         peers: NodePeers,
         counters: Counters,
         pick_collector: Callable[[], Member | None],
         ask_primary: Callable[[], Awaitable[bool]],
     ) -> None:
-        self._belief = belief
+        self._belief = leadership_state
         self._history = history
         self._peers = peers
         self._counters = counters
@@ -65,11 +65,11 @@
     async def tell(self) -> SampleAnswer:
         """Return the latest sample for a peer, a new one if it is old."""
         asked_at = await curio.clock()
-        if asked_at - self._history.latest[1] > SHARED_AGE:
+        if asked_at - self._history.latest[1] > MAX_SHARED_AGE_S:
             await self._asking_primary.get()
         offset, sampled_at = self._history.latest
         age = await curio.clock() - sampled_at
-        is_known = age < VALIDITY
+        is_known = age < PROOF_LIFETIME_S
         return SampleAnswer(self._history.term, offset, age if is_known else -1)
 
     async def _sample(self) -> bool:
@@ -84,7 +84,7 @@
         answer = await self._peers.ask(
             collector.endpoint,
             AskSample(self._belief.service),
-            SAMPLE_LIMIT,
+            SAMPLE_TIMEOUT_S,
         )
         if not isinstance(answer, SampleAnswer) or answer.age < 0:
             return False
--- a/deckdrum/serving/searches.py
+++ b/deckdrum/serving/searches.py
@@ -7,7 +7,12 @@
 
 from deckdrum.operations import Answer, Begin, Rejection, Request
 from deckdrum.outcomes import Refusal
-from deckdrum.serving.attempts import Attempt, AttemptEnd, Lost, release_link
+from deckdrum.serving.attempts import (
+    Attempt,
+    AttemptEnd,
+    NoAnswer,
+    release_link,
+)
 from deckdrum.serving.routing import Target
 from deckdrum.serving.state import SessionState
 
@@ -16,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Search:
+class Dispatch:
     """One statement's way from server to server.
 
     Attributes
@@ -55,13 +60,13 @@
     state: SessionState
     begin: Begin | None
     is_read: bool
-    may_spread: bool
+    may_hedge: bool
     began: float
     deadline: float
     tries: int = 0
     pause: float = FIRST_PAUSE
-    passed_over: set[str] = field(default_factory=set)
-    last: Rejection | Lost | Refusal | None = None
+    excluded_servers: set[str] = field(default_factory=set)
+    last: Rejection | NoAnswer | Refusal | None = None
     ends: Any = field(default_factory=curio.Queue)
     running: list[Attempt] = field(default_factory=list)
     is_over: bool = False
@@ -90,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndedTry:
+class FinishedAttempt:
     """A try and its end."""
 
     attempt: Attempt
@@ -98,7 +103,7 @@
     end: AttemptEnd
 
 
-async def drop_late(ended: EndedTry) -> None:
+async def release_late_attempt(ended: FinishedAttempt) -> None:
     """Give back the connection of a try whose answer nobody waits for."""
     lease = ended.attempt.lease
     if lease is not None and isinstance(ended.end, Answer):
--- a/deckdrum/serving/servers.py
+++ b/deckdrum/serving/servers.py
@@ -13,54 +13,57 @@
     BackendServer,
     ConnectionLimitError,
     Lease,
-    NoneFreeError,
+    NoFreeConnectionError,
     Pool,
     ServerStatus,
 )
 from deckdrum.control import Member
-from deckdrum.control.departures import Departure
-from deckdrum.fleet.borrowing import LoanBackend, OwnBackend
+from deckdrum.control.departures import DrainStatus
+from deckdrum.fleet.borrowing import BorrowingBackend, DirectBackend
 from deckdrum.fleet.policies import ALL_POLICIES, Policy
-from deckdrum.load.placement import BORROWED_CONNECTIONS, USEFUL_CONNECTIONS
+from deckdrum.load.placement import (
+    MAX_BORROWED_CONNECTIONS,
+    MIN_LOCAL_CONNECTIONS,
+)
 from deckdrum.members import GroupShare
 from deckdrum.operations import Rejection
 from deckdrum.outcomes import Refusal
 from deckdrum.serving.lags import ReplicaLag
-from deckdrum.serving.times import AnswerTimes
+from deckdrum.serving.times import ResponseTimes
 from deckdrum.sessions import Position
 from deckdrum.utils.tasks import SharedCall
 
 #: How long a server that failed is passed over, in seconds; doubled with
 #: each failure in a row.
-FIRST_AVOIDANCE: Final = 0.2
-LONGEST_AVOIDANCE: Final = 1.6
+MIN_BACKOFF_S: Final = 0.2
+MAX_BACKOFF_S: Final = 1.6
 #: Pause after the server refused a connection for want of room, in seconds.
 #: Connections of a node that was killed linger for up to 3 s.
-FULL_AVOIDANCE: Final = 0.3
+CONNECTION_LIMIT_BACKOFF_S: Final = 0.3
 #: Longest wait for the answer to a question of the product's own, in seconds;
 #: far above the round trip (5 ms) and a full queue of short statements.
-QUESTION_LIMIT: Final = 0.4
+COMMAND_TIMEOUT_S: Final = 0.4
 #: Age of a silence, or of an answer, up to which it is told to peers without
 #: asking again, in seconds.  A node that asks them has waited longer for an
 #: answer of its own.
-FRESH_SILENCE: Final = 0.3
-FRESH_ANSWER: Final = 0.3
+RECENT_TIMEOUT_WINDOW_S: Final = 0.3
+RECENT_ANSWER_WINDOW_S: Final = 0.3
 #: Longest wait of such a question for a pooled connection, in seconds; then
 #: one beyond the pool is opened, since all may rest in transactions.
-CONTROL_WAIT: Final = 0.1
+COMMAND_POOL_TIMEOUT_S: Final = 0.1
 #: Longest wait of one try for one of few connections, in seconds.  A resting
 #: transaction may hold them for seconds: then other lenders, or another server,
 #: are tried instead.
 FEW_WAIT: Final = 0.25
 #: Group under which the product's own questions wait for a connection.
-_CONTROL_GROUP: Final = ''
+_COMMAND_GROUP: Final = ''
 _LEARN_RATE: Final = 0.2
 
 ServerLease = Lease[Backend, BackendLink]
 
 
 @dataclass(frozen=True, slots=True)
-class ToldPosition:
+class ReportedPosition:
     """Where a server's log stood after it was asked, in kernel seconds."""
 
     position: Position
@@ -86,8 +89,8 @@
 
     def __init__(
         self,
-        own: OwnBackend,
-        loans: LoanBackend,
+        own: DirectBackend,
+        loans: BorrowingBackend,
         slots: int,
         shares: Mapping[str, GroupShare],
         policies: frozenset[Policy] = ALL_POLICIES,
@@ -99,37 +102,37 @@
         #: Connections that it borrows.
         self.loans: Pool[Backend, BackendLink] = Pool(
             loans,
-            BORROWED_CONNECTIONS,
+            MAX_BORROWED_CONNECTIONS,
             shares,
         )
         #: Whether it has connections of its own; otherwise it only borrows.
         self.is_holder = True
         self._lending = loans
-        self._asking_status = SharedCall(self.ask_status)
+        self._asking_status = SharedCall(self.query_status)
         #: Why it last left a question without an answer, or refused it.
         self.fault = ''
         #: What it last said of itself, unless the latest question failed.
         self.status: ServerStatus | None = None
         #: Its planned end, if there is one.
-        self.departure = Departure()
+        self.departure = DrainStatus()
         #: When the server last answered anything, in kernel seconds.
         self.answered_at = float('-inf')
         #: When a question was last left without an answer.
-        self.silent_at = float('-inf')
+        self.timed_out_at = float('-inf')
         #: Whether it neither answers this node nor takes connections of it.
         self.is_dark = False
         #: Whether its address last refused or reset a connection.
         self.is_refusing = False
         #: Where its log stood when it last refused a question.
-        self.told: ToldPosition | None = None
+        self.told: ReportedPosition | None = None
         #: Usual time of a statement, in seconds.
         self.usual_time: float = 0
         self._avoided_until = float('-inf')
-        self._avoidance = FIRST_AVOIDANCE
+        self._backoff = MIN_BACKOFF_S
         #: What its log lacked lately.
         self.lag = ReplicaLag()
         #: How long it takes to answer what was sent.
-        self.times = AnswerTimes()
+        self.times = ResponseTimes()
 
     @property
     def id(self) -> str:
@@ -147,13 +150,13 @@
         queues = (self.pool.queue, self.loans.queue)
         return sum(queue.held + queue.waiting for queue in queues)
 
-    def update(self, server: BackendServer, departure: Departure) -> None:
+    def update(self, server: BackendServer, departure: DrainStatus) -> None:
         """Take over a new entry of the same server."""
         self.own.server = server
         self._lending.server = server
         self.departure = departure
 
-    async def adopt_deal(
+    async def apply_allocation(
         self,
         lenders: list[Member],
         slots: int,
@@ -163,13 +166,13 @@
         self._lending.lenders = lenders
         self.is_holder = slots > 0
         await self.pool.queue.resize(max(1, slots), shares)
-        await self.loans.queue.resize(BORROWED_CONNECTIONS, shares)
+        await self.loans.queue.resize(MAX_BORROWED_CONNECTIONS, shares)
         if self.is_holder:
             await self.pool.trim()
         else:
             await self.pool.close_idle()
 
-    async def adopt_shares(self, shares: Mapping[str, GroupShare]) -> None:
+    async def apply_shares(self, shares: Mapping[str, GroupShare]) -> None:
         """Take over the shares of the groups of callers."""
         for pool in (self.pool, self.loans):
             await pool.queue.resize(pool.queue.slots, shares)
@@ -180,8 +183,8 @@
 
     def is_silent(self, now: float) -> bool:
         """Tell whether a question was left unanswered a moment ago."""
-        is_fresh = now - self.silent_at < FRESH_SILENCE
-        return is_fresh and self.answered_at < self.silent_at
+        is_fresh = now - self.timed_out_at < RECENT_TIMEOUT_WINDOW_S
+        return is_fresh and self.answered_at < self.timed_out_at
 
     def has_answered(self, since: float) -> bool:
         """Tell whether the server answered anything after `since`.
@@ -191,12 +194,12 @@
         """
         return self.answered_at >= since
 
-    def note_answer(self, now: float, seconds: float | None = None) -> None:
+    def record_answer(self, now: float, seconds: float | None = None) -> None:
         """Note that the server answered, after `seconds` if it was work."""
         self.answered_at = now
         self.is_dark = False
         self.is_refusing = False
-        self._avoidance = FIRST_AVOIDANCE
+        self._backoff = MIN_BACKOFF_S
         self._avoided_until = float('-inf')
         if seconds is not None:
             self.usual_time += (seconds - self.usual_time) * _LEARN_RATE
@@ -204,9 +207,9 @@
     def note_failure(self, now: float, error: BaseException) -> None:
         """Note that a connection broke or could not be had."""
         if isinstance(error, ConnectionLimitError):
-            if not isinstance(error, NoneFreeError):
+            if not isinstance(error, NoFreeConnectionError):
                 self.answered_at = now
-            self._avoided_until = now + FULL_AVOIDANCE
+            self._avoided_until = now + CONNECTION_LIMIT_BACKOFF_S
             return
         self.is_refusing = isinstance(
             error,
@@ -214,9 +217,9 @@
         )
         self._avoid(now)
 
-    def note_silence(self, now: float) -> None:
+    def record_timeout(self, now: float) -> None:
         """Note that the server left a question without an answer."""
-        self.silent_at = now
+        self.timed_out_at = now
         self._avoid(now)
 
     async def acquire(
@@ -237,11 +240,11 @@
         ConnectionError
             If the server cannot be reached.
         """
-        if self._has_few and Policy.FEW_WAIT in self._policies:
+        if self._has_few_connections and Policy.FEW_WAIT in self._policies:
             limit = min(limit, FEW_WAIT)
         if not self.is_holder:
             return await self.loans.acquire(group, limit, workspace=workspace)
-        borrowed = await self._borrow_beside(group, limit, workspace)
+        borrowed = await self._borrow_if_busy(group, limit, workspace)
         if borrowed is not None:
             return borrowed
         try:
@@ -283,23 +286,23 @@
             lease.link.is_kept = False
         await self.pool.release(lease, is_clean)
 
-    async def ask_status(
+    async def query_status(
         self,
-        limit: float = QUESTION_LIMIT,
+        limit: float = COMMAND_TIMEOUT_S,
     ) -> ServerStatus | None:
         """Ask the server about itself; None if it does not say."""
-        return await self.instruct('read_status', limit=limit)
+        return await self.execute_command('read_status', limit=limit)
 
-    async def ask_status_once(self) -> ServerStatus | None:
-        """Ask as `ask_status`, for all peers that want to know now."""
+    async def query_status_shared(self) -> ServerStatus | None:
+        """Ask as `query_status`, for all peers that want to know now."""
         status: ServerStatus | None = await self._asking_status.get()
         return status
 
-    async def instruct(
+    async def execute_command(
         self,
         step: str,
         *arguments: int,
-        limit: float = QUESTION_LIMIT,
+        limit: float = COMMAND_TIMEOUT_S,
     ) -> ServerStatus | None:
         """Take one step of a change on the server.
 
@@ -324,25 +327,27 @@
                 reply = await self._call_step(step, arguments)
         except curio.TaskTimeout:
             self.fault = self._describe_silence(step, limit)
-            self.note_silence(await curio.clock())
+            self.record_timeout(await curio.clock())
             return None
         except ConnectionError as error:
             self.fault = f'{step}: {error!r}'
             self.note_failure(await curio.clock(), error)
             return None
-        self.note_answer(await curio.clock())
+        self.record_answer(await curio.clock())
         if not isinstance(reply, Rejection):
             self.status = reply
             return reply
         self.fault = f'{step}: {reply.cause}: {reply.text}'
         if reply.position is not None and reply.tells_position:
-            self.told = ToldPosition(reply.position, asked_at)
+            self.told = ReportedPosition(reply.position, asked_at)
         return None
 
     @property
-    def _has_few(self) -> bool:
+    def _has_few_connections(self) -> bool:
         """Whether own connections do not serve all requests of this node."""
-        return not self.is_holder or self.pool.queue.slots < USEFUL_CONNECTIONS
+        return (
+            not self.is_holder or self.pool.queue.slots < MIN_LOCAL_CONNECTIONS
+        )
 
     def _describe_silence(self, step: str, limit: float) -> str:
         """Return what is logged of a question without an answer."""
@@ -360,9 +365,9 @@
         arguments: tuple[int, ...],
     ) -> ServerStatus | Rejection:
         """Use a pooled connection, or one beyond if all stay busy."""
-        lease = await self.acquire(_CONTROL_GROUP, CONTROL_WAIT, {})
+        lease = await self.acquire(_COMMAND_GROUP, COMMAND_POOL_TIMEOUT_S, {})
         if isinstance(lease, Refusal):
-            return await self._call_apart(step, arguments)
+            return await self._call_unpooled(step, arguments)
         is_clean = False
         try:
             reply = await _invoke(lease.link, step, arguments)
@@ -371,14 +376,14 @@
             await self.release(lease, is_clean)
         return reply
 
-    async def _call_apart(
+    async def _call_unpooled(
         self,
         step: str,
         arguments: tuple[int, ...],
     ) -> ServerStatus | Rejection:
         """Use a connection beyond the pool, one that is not kept."""
-        backend = self._lending if self._has_few else self.own
-        link = await backend.connect(QUESTION_LIMIT)
+        backend = self._lending if self._has_few_connections else self.own
+        link = await backend.connect(COMMAND_TIMEOUT_S)
         is_whole = False
         try:
             reply = await _invoke(link, step, arguments)
@@ -389,7 +394,7 @@
         await link.hand_back()
         return reply
 
-    async def _borrow_beside(
+    async def _borrow_if_busy(
         self,
         group: str,
         limit: float,
@@ -398,7 +403,7 @@
         """Borrow if the few own connections are busy and others are not."""
         if Policy.BORROWING not in self._policies:
             return None
-        if not self._has_few or not self.pool.queue.is_busy:
+        if not self._has_few_connections or not self.pool.queue.is_busy:
             return None
         try:
             lease = await self.loans.acquire(group, limit, workspace=workspace)
@@ -408,8 +413,8 @@
         return None if isinstance(lease, Refusal) else lease
 
     def _avoid(self, now: float) -> None:
-        self._avoided_until = now + self._avoidance
-        self._avoidance = min(self._avoidance * 2, LONGEST_AVOIDANCE)
+        self._avoided_until = now + self._backoff
+        self._backoff = min(self._backoff * 2, MAX_BACKOFF_S)
 
 
 async def _invoke(
--- a/deckdrum/serving/service.py
+++ b/deckdrum/serving/service.py
@@ -14,18 +14,22 @@
     ServerRole,
     ServerStatus,
 )
-from deckdrum.backends.history import History
+from deckdrum.backends.position_history import History
 from deckdrum.control import ControlStore, Member, Route, ServiceDeclaration
-from deckdrum.control.departures import Departure
-from deckdrum.fleet.borrowing import LoanBackend, OwnBackend
-from deckdrum.fleet.nodes import NodePeers
+from deckdrum.control.departures import DrainStatus
+from deckdrum.fleet.borrowing import BorrowingBackend, DirectBackend
+from deckdrum.fleet.node_peers import NodePeers
 from deckdrum.fleet.policies import ALL_POLICIES, Policy
-from deckdrum.leadership.belief import LeadershipBelief
-from deckdrum.load.placement import USEFUL_CONNECTIONS
+from deckdrum.leadership.state import LeadershipState
+from deckdrum.load.placement import MIN_LOCAL_CONNECTIONS
 from deckdrum.members import GroupShare
-from deckdrum.serving.holding import Holding, Terms, list_staying
+from deckdrum.serving.allocation import (
+    AllocationInputs,
+    ConnectionAllocator,
+    list_remaining_nodes,
+)
 from deckdrum.serving.proofs import ProofSources, Source
-from deckdrum.serving.samples import SAMPLE_LIMIT, PrimarySampler
+from deckdrum.serving.samples import SAMPLE_TIMEOUT_S, PrimarySampler
 from deckdrum.serving.servers import ServerHandle
 from deckdrum.sessions import Position
 from deckdrum.sessions.position import NOWHERE
@@ -36,13 +40,13 @@
 #: urgent.  Twice the weight gets twice the connections when all wait.
 PRIORITY_WEIGHTS: Final = (4.0, 2.0, 1.0)
 #: Requests of one group that may wait for one server.
-MAX_WAITING: Final = 64
+MAX_QUEUED_REQUESTS: Final = 64
 #: Pause between two rounds of questions to all servers, in seconds.
-DISCOVERY_PAUSE: Final = 0.05
+DISCOVERY_INTERVAL_S: Final = 0.05
 #: Longest wait for statements under way when a term ends, in seconds; most
 #: statements take 6 to 60 ms.
-FINISH_LIMIT: Final = 0.12
-_FINISH_POLL: Final = 0.005
+TERM_DRAIN_TIMEOUT_S: Final = 0.12
+_DRAIN_POLL_INTERVAL_S: Final = 0.005
 
 
 class ServiceRuntime:
@@ -79,22 +83,22 @@
         self.declaration = declaration
         self.policies = policies
         self.servers: dict[str, ServerHandle] = {}
-        self.belief = LeadershipBelief(declaration.name, journal)
+        self.leadership_state = LeadershipState(declaration.name, journal)
         self.history = History()
         self.journal = journal
         self.counters = counters
         #: Called with a server that has just failed.
-        self.on_trouble: Callable[[ServerHandle], None] | None = None
+        self.on_server_failure: Callable[[ServerHandle], None] | None = None
         #: Whether this node is changing the primary.
-        self.is_changing = False
+        self.is_changing_primary = False
         #: Which nodes hold the group's connections.
-        self.holding = Holding(declaration.name, peers, policies)
+        self.holding = ConnectionAllocator(declaration.name, peers, policies)
         #: Statements at the primary that have no answer yet.
         self.in_flight = 0
         self._make_backend = make_backend
         self._peers = peers
         self._proofs = ProofSources(
-            self.belief,
+            self.leadership_state,
             self._list_questions,
             store,
             peers,
@@ -103,11 +107,11 @@
         )
         self._shares: dict[str, GroupShare] = {}
         #: What became of connections to servers that are gone.
-        self.former_connections: Counter[str] = Counter()
+        self.removed_server_stats: Counter[str] = Counter()
         self._discovered_at = float('-inf')
         #: Samples of the primary, taken once for many callers.
         self.samples = PrimarySampler(
-            self.belief,
+            self.leadership_state,
             self.history,
             peers,
             counters,
@@ -123,9 +127,9 @@
     @property
     def primary(self) -> ServerHandle | None:
         """The believed primary, if its term has not ended."""
-        if not self.belief.has_primary:
+        if not self.leadership_state.has_primary:
             return None
-        return self.servers.get(self.belief.primary)
+        return self.servers.get(self.leadership_state.primary)
 
     @property
     def replicas(self) -> list[ServerHandle]:
@@ -133,7 +137,7 @@
         return [
             handle
             for name, handle in self.servers.items()
-            if name != self.belief.primary
+            if name != self.leadership_state.primary
         ]
 
     def has_log(self, name: str, end: Position) -> bool:
@@ -142,7 +146,7 @@
         One that has started again, empty, may do so only once it has the log
         as far as it is known here: all that was acknowledged would be lost.
         """
-        if not self.belief.has_restarted(name):
+        if not self.leadership_state.has_restarted(name):
             return True
         known = Position(self.history.term, self.history.latest[0])
         return known > NOWHERE and end >= known
@@ -150,7 +154,7 @@
     async def adopt_servers(
         self,
         listed: Mapping[str, BackendServer],
-        find_departure: Callable[[str], Departure],
+        find_departure: Callable[[str], DrainStatus],
     ) -> None:
         """Take over the servers of this group from the directory.
 
@@ -158,17 +162,23 @@
         """
         for name, server in listed.items():
             handle = self.servers.get(name)
-            if handle is not None and not server.is_life_of(handle.server):
+            if handle is not None and not server.is_same_incarnation_as(
+                handle.server
+            ):
                 # Its connections, positions and times are of a former life.
                 await self._drop(handle)
                 handle = None
             if handle is None:
-                own = OwnBackend(self._make_backend(server))
-                own.is_known_to_hold = partial(self._is_known_to_hold, name)
+                own = DirectBackend(self._make_backend(server))
+                own.is_log_known_nonempty = partial(
+                    self._is_known_to_hold, name
+                )
                 handle = ServerHandle(
                     own,
-                    LoanBackend(own, self._peers.loans, self._peers.health),
-                    USEFUL_CONNECTIONS,
+                    BorrowingBackend(
+                        own, self._peers.loans, self._peers.health
+                    ),
+                    MIN_LOCAL_CONNECTIONS,
                     self._shares,
                     self.policies,
                 )
@@ -180,7 +190,7 @@
             handle.id: handle.server.started_at
             for handle in self.servers.values()
         }
-        await self.belief.adopt_servers(self.servers, starts)
+        await self.leadership_state.adopt_servers(self.servers, starts)
 
     async def deal(
         self,
@@ -194,7 +204,7 @@
         They belong to a number of `workspaces`, or to nobody.
         """
         self.declaration = declaration
-        terms = Terms(
+        terms = AllocationInputs(
             declaration.max_connections,
             workspaces,
             dict(members),
@@ -203,26 +213,26 @@
                 for handle in self.servers.values()
             ),
         )
-        if self.holding.is_dealt(terms):
+        if self.holding.is_allocated_for(terms):
             return
         if Policy.SHARED_PROOF in self.policies:
-            staying = list_staying(own, members)
+            staying = list_remaining_nodes(own, members)
             self._proofs.pick_collector(own, members, staying)
         await self.holding.deal(terms, own, self.servers, self._shares)
 
-    async def admit_group(self, route: Route) -> None:
+    async def set_route_share(self, route: Route) -> None:
         """Give the callers of a route their share of the connections."""
         place = min(route.priority, len(PRIORITY_WEIGHTS) - 1)
-        share = GroupShare(PRIORITY_WEIGHTS[max(0, place)], MAX_WAITING)
+        share = GroupShare(PRIORITY_WEIGHTS[max(0, place)], MAX_QUEUED_REQUESTS)
         if self._shares.get(route.database) == share:
             return
         self._shares[route.database] = share
         for handle in self.servers.values():
-            await handle.adopt_shares(self._shares)
+            await handle.apply_shares(self._shares)
 
-    def note_position(self, position: Position, started_at: float) -> None:
+    def record_position(self, position: Position, started_at: float) -> None:
         """Note where the primary's log stood after `started_at`."""
-        if position.term == self.belief.term:
+        if position.term == self.leadership_state.term:
             self.history.note(position.term, position.offset, started_at)
 
     async def find_floor(self, max_age: float) -> Position | None:
@@ -245,7 +255,7 @@
         """Ask a server about itself and take over what it says."""
         asked_at = await curio.clock()
         self.counters.count('status_questions')
-        status = await handle.ask_status()
+        status = await handle.query_status()
         if status is None:
             self.journal.record_often(
                 'server.unanswered',
@@ -253,17 +263,17 @@
                 server=handle.id,
                 reason=handle.fault,
             )
-            self.report_trouble(handle)
+            self.report_server_failure(handle)
             return None
-        await self.belief.note_status(handle.id, status, asked_at)
+        await self.leadership_state.record_status(handle.id, status, asked_at)
         return status
 
-    def report_trouble(self, handle: ServerHandle) -> None:
+    def report_server_failure(self, handle: ServerHandle) -> None:
         """Have a failed server looked at."""
-        if self.on_trouble is not None:
-            self.on_trouble(handle)
+        if self.on_server_failure is not None:
+            self.on_server_failure(handle)
 
-    async def discover(self) -> None:
+    async def discover_primary(self) -> None:
         """Look for a primary, unless that was done a moment ago.
 
         The server that says in the directory that it leads is asked first,
@@ -271,8 +281,8 @@
         start.
         """
         now = await curio.clock()
-        if now - self._discovered_at < DISCOVERY_PAUSE:
-            await curio.sleep(DISCOVERY_PAUSE)
+        if now - self._discovered_at < DISCOVERY_INTERVAL_S:
+            await curio.sleep(DISCOVERY_INTERVAL_S)
             return
         self._discovered_at = now
         listed = [
@@ -307,27 +317,33 @@
             now = await curio.clock()
             primary = self.primary
             is_barred = for_work and _has_left(primary, now)
-            if primary and not is_barred and self.belief.is_valid(now):
-                await self._proofs.renew_early(now)
+            if (
+                primary
+                and not is_barred
+                and self.leadership_state.is_primary_usable(now)
+            ):
+                await self._proofs.renew_if_expiring(now)
                 return primary
             # Where all have left there is nothing to wait for.
             is_hopeless = for_work and _have_all_left(self.servers, now)
             if now >= deadline or is_hopeless:
                 return None
             if is_barred:
-                await self.belief.wait_changed(DISCOVERY_PAUSE)
+                await self.leadership_state.wait_for_change(
+                    DISCOVERY_INTERVAL_S
+                )
             elif primary is None:
                 await self._look_for_primary(deadline - now)
-            elif not await self.prove():
-                await self.belief.wait_changed(
-                    min(DISCOVERY_PAUSE, deadline - now),
+            elif not await self.renew_proof():
+                await self.leadership_state.wait_for_change(
+                    min(DISCOVERY_INTERVAL_S, deadline - now),
                 )
 
-    async def tell_proof(self, term: int) -> float:
+    async def fetch_proof_age(self, term: int) -> float:
         """Return the age of this node's proof in seconds; -1 without any."""
-        return await self._proofs.tell_age(term)
+        return await self._proofs.fetch_age(term)
 
-    async def prove(self) -> bool:
+    async def renew_proof(self) -> bool:
         """Get proof that the term has not ended; tell whether there is."""
         return await self._proofs.renew()
 
@@ -344,11 +360,13 @@
         Statements under way get a bounded wait if they `may_finish`; an
         answer that comes afterwards is a doubt.
         """
-        await self.belief.end_term(term, 'a node changes the primary', fence)
-        async with curio.ignore_after(FINISH_LIMIT):
+        await self.leadership_state.end_term(
+            term, 'a node changes the primary', fence
+        )
+        async with curio.ignore_after(TERM_DRAIN_TIMEOUT_S):
             while may_finish and self.in_flight:
-                await curio.sleep(_FINISH_POLL)
-        self.belief.close_term(term)
+                await curio.sleep(_DRAIN_POLL_INTERVAL_S)
+        self.leadership_state.close_term(term)
 
     async def close(self) -> None:
         """Close idle connections."""
@@ -358,14 +376,14 @@
     async def _drop(self, handle: ServerHandle) -> None:
         """Use a server, or a former life of it, no more."""
         self.servers.pop(handle.id)
-        self.former_connections.update(asdict(handle.pool.figures))
+        self.removed_server_stats.update(asdict(handle.pool.figures))
         handle.is_holder = False
         await handle.pool.close_idle()
 
     def _is_known_to_hold(self, name: str) -> bool:
         """Tell whether a server leads with a log that is not empty."""
-        is_sampled = self.history.term == self.belief.term
-        is_primary = name == self.belief.primary
+        is_sampled = self.history.term == self.leadership_state.term
+        is_primary = name == self.leadership_state.primary
         return is_primary and is_sampled and self.history.latest[0] > 0
 
     def _pick_collector(self) -> Member | None:
@@ -375,7 +393,7 @@
 
     async def _ask_primary(self) -> bool:
         """Ask the primary where its log stands; tell whether it said so."""
-        primary = await self.ensure_primary(SAMPLE_LIMIT, for_work=False)
+        primary = await self.ensure_primary(SAMPLE_TIMEOUT_S, for_work=False)
         if primary is None:
             return False
         started_at = await curio.clock()
@@ -386,9 +404,9 @@
         if position is None and told and told.asked_at >= started_at:
             # It refused the question, and told where its log stands.
             position = told.position
-        if position is None or position.term != self.belief.term:
+        if position is None or position.term != self.leadership_state.term:
             return False
-        self.note_position(position, started_at)
+        self.record_position(position, started_at)
         return True
 
     async def _ask_each(self, handles: Iterable[ServerHandle]) -> None:
@@ -400,23 +418,25 @@
         """Return a question to each replica, the best first."""
         ranked = sorted(
             self.replicas,
-            key=lambda handle: (handle.silent_at, handle.load),
+            key=lambda handle: (handle.timed_out_at, handle.load),
         )
         return [partial(self.ask, handle) for handle in ranked]
 
     async def _look_for_primary(self, limit: float) -> None:
-        if self.belief.term and not self.belief.has_primary:
+        if self.leadership_state.term and not self.leadership_state.has_primary:
             # Whoever changes the primary announces it.
-            await self.belief.wait_changed(min(DISCOVERY_PAUSE, limit))
-        await self.discover()
+            await self.leadership_state.wait_for_change(
+                min(DISCOVERY_INTERVAL_S, limit)
+            )
+        await self.discover_primary()
 
 
 def _has_left(handle: ServerHandle | None, now: float) -> bool:
-    return handle is not None and handle.departure.has_left(now)
+    return handle is not None and handle.departure.is_past_cutoff(now)
 
 
 def _have_all_left(servers: Mapping[str, ServerHandle], now: float) -> bool:
     """Tell whether a group has servers, and none that gets new work."""
     return bool(servers) and all(
-        handle.departure.has_left(now) for handle in servers.values()
+        handle.departure.is_past_cutoff(now) for handle in servers.values()
     )
--- a/deckdrum/serving/session.py
+++ b/deckdrum/serving/session.py
@@ -55,7 +55,7 @@
         self._transactions = TransactionRunner(host, self.state)
         self.is_busy = False
         #: When the last operation ended, in kernel seconds.
-        self.rested_at: float = 0
+        self.idle_since: float = 0
 
     @property
     def standing(self) -> Standing:
@@ -63,12 +63,12 @@
         return self.state.standing
 
     @property
-    def is_at_rest(self) -> bool:
+    def is_inactive(self) -> bool:
         """Whether no request and no transaction is under way."""
         return not self.is_busy and self.state.transaction is None
 
     @property
-    def has_resting_transaction(self) -> bool:
+    def has_idle_transaction(self) -> bool:
         """Whether a transaction is open and no statement of it runs."""
         return not self.is_busy and self.state.transaction is not None
 
@@ -81,12 +81,12 @@
             outcome = await perform(self, request)
         finally:
             self.is_busy = False
-            self.rested_at = await curio.clock()
-        seconds = self.rested_at - began
+            self.idle_since = await curio.clock()
+        seconds = self.idle_since - began
         self._host.note_outcome(self, request, outcome, seconds)
         return outcome
 
-    async def abandon_transaction(self, reason: str) -> None:
+    async def abort_transaction(self, reason: str) -> None:
         """Roll back the open transaction; the caller's next request tells it.
 
         Called between two operations only.
@@ -94,7 +94,7 @@
         transaction = self.state.transaction
         if transaction is not None and not transaction.is_failed:
             transaction.is_failed = True
-            transaction.untold = reason
+            transaction.unreported_failure = reason
             await self._transactions.free(transaction, Standing.OPEN)
 
     async def close(self) -> None:
@@ -107,17 +107,17 @@
     async def _set_value(self, request: Request) -> Outcome:
         operation = request.operation
         if not isinstance(operation, SetValue) or self._has_failed():
-            return _refuse_order(request)
+            return _refuse_out_of_order(request)
         self.state.values = {
             **self.state.values,
             operation.name: operation.value,
         }
-        return await self._transactions.adopt_values(operation)
+        return await self._transactions.apply_value(operation)
 
     async def _prepare(self, request: Request) -> Outcome:
         operation = request.operation
         if not isinstance(operation, Prepare) or self._has_failed():
-            return _refuse_order(request)
+            return _refuse_out_of_order(request)
         self.state.prepared[operation.name] = PreparedStatement(
             operation.effect,
             operation.shape,
@@ -127,7 +127,7 @@
     async def _deallocate(self, request: Request) -> Outcome:
         operation = request.operation
         if not isinstance(operation, Deallocate) or self._has_failed():
-            return _refuse_order(request)
+            return _refuse_out_of_order(request)
         if self.state.prepared.pop(operation.name, None) is None:
             return refuse(Code.UNKNOWN_STATEMENT, operation.name)
         return Answer(standing=self.standing)
@@ -136,7 +136,7 @@
         operation = request.operation
         is_open = self.state.transaction is not None
         if not isinstance(operation, Begin) or is_open:
-            return _refuse_order(request)
+            return _refuse_out_of_order(request)
         access = await self._admit()
         if isinstance(access, Refusal):
             return access
@@ -146,7 +146,7 @@
     async def _rollback(self, request: Request) -> Outcome:
         transaction = self.state.transaction
         if transaction is None:
-            return _refuse_order(request)
+            return _refuse_out_of_order(request)
         self.state.transaction = None
         await self._transactions.free(transaction, Standing.OPEN)
         return Answer()
@@ -154,7 +154,7 @@
     async def _commit(self, request: Request) -> Outcome:
         transaction = self.state.transaction
         if transaction is None:
-            return _refuse_order(request)
+            return _refuse_out_of_order(request)
         if transaction.is_failed:
             await self.close()
             return refuse(Code.TRANSACTION_LOST, 'it had failed before')
@@ -167,7 +167,9 @@
         if isinstance(effect, Refusal):
             return effect
         if self._has_failed():
-            return self._tell_loss() or _refuse_order(request)
+            return self._take_unreported_failure() or _refuse_out_of_order(
+                request
+            )
         transaction = self.state.transaction
         if transaction is not None:
             return await self._run_checked(request, effect, transaction)
@@ -205,13 +207,13 @@
         self.state.workspace = access.workspace.name
         return await self._host.spend_limit(access) or access
 
-    def _tell_loss(self) -> Refusal | None:
+    def _take_unreported_failure(self) -> Refusal | None:
         """Tell once that the product has rolled the transaction back."""
         transaction = self.state.transaction
-        if transaction is None or not transaction.untold:
+        if transaction is None or not transaction.unreported_failure:
             return None
-        reason = transaction.untold
-        transaction.untold = ''
+        reason = transaction.unreported_failure
+        transaction.unreported_failure = ''
         return refuse(Code.TRANSACTION_LOST, reason)
 
     def _has_failed(self) -> bool:
@@ -222,14 +224,14 @@
         if isinstance(operation, Run):
             return operation.effect
         if not isinstance(operation, Execute):
-            return _refuse_order(request)
+            return _refuse_out_of_order(request)
         statement = self.state.prepared.get(operation.name)
         if statement is None:
             return refuse(Code.UNKNOWN_STATEMENT, operation.name)
         return statement.effect
 
 
-def _refuse_order(request: Request) -> Refusal:
+def _refuse_out_of_order(request: Request) -> Refusal:
     name = type(request.operation).__name__
     return refuse(Code.PROTOCOL_VIOLATION, f'{name} is not possible here')
 
--- a/deckdrum/serving/state.py
+++ b/deckdrum/serving/state.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Pin:
+class PinnedConnection:
     """A server's connection that an open transaction holds."""
 
     handle: ServerHandle
@@ -85,11 +85,11 @@
 
     read_only: bool
     route: Route
-    pin: Pin | None = None
+    pin: PinnedConnection | None = None
     forwarded: ForwardedTransaction | None = None
     has_written: bool = False
     is_failed: bool = False
-    untold: str = ''
+    unreported_failure: str = ''
 
 
 @dataclass(slots=True)
--- a/deckdrum/serving/tests/test_lending.py
+++ b/deckdrum/serving/tests/test_lending.py
@@ -8,11 +8,11 @@
 import curio
 import pytest
 
-from deckdrum.fleet.policies import leave_out
+from deckdrum.fleet.policies import exclude_policies
 from deckdrum.load.placement import (
-    MOST_CONNECTIONS,
+    MAX_CONNECTIONS_PER_NODE,
     RESERVED_CONNECTIONS,
-    deal_connections,
+    allocate_connections,
 )
 from deckdrum.testing.nodes import (
     BOUNDED,
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize('count', [1, 2, 9, 12, 30, 71, 300])
 @pytest.mark.parametrize('limit', [3, 12, 23, 53, 283])
 def test_deal_keeps_the_reserve(count: int, limit: int) -> None:
-    deal = deal_connections('i-1', build_nodes(count), limit)
+    deal = allocate_connections('i-1', build_nodes(count), limit)
     used = sum(deal.holders.values())
     assert used <= max(1, limit - RESERVED_CONNECTIONS)
     assert min(deal.holders.values()) >= 1
@@ -45,18 +45,18 @@
 
 
 def test_every_node_holds_where_there_is_enough() -> None:
-    deal = deal_connections('i-1', build_nodes(9), 38)
+    deal = allocate_connections('i-1', build_nodes(9), 38)
     assert len(deal.holders) == 9
     assert min(deal.holders.values()) == 2
-    plenty = deal_connections('i-1', build_nodes(2), 100)
-    assert set(plenty.holders.values()) == {MOST_CONNECTIONS}
+    plenty = allocate_connections('i-1', build_nodes(2), 100)
+    assert set(plenty.holders.values()) == {MAX_CONNECTIONS_PER_NODE}
 
 
 @pytest.mark.parametrize('count', [2, 5, 7, 9, 12])
 def test_what_does_not_go_round_goes_to_the_nearest_nodes(count: int) -> None:
     nodes = build_nodes(count)
     limit = 2 * (count + 2)
-    deal = deal_connections('i-1', nodes, limit, data_centre='b')
+    deal = allocate_connections('i-1', nodes, limit, data_centre='b')
     assert sum(deal.holders.values()) == count + 2
     most = max(deal.holders.values())
     near = [name for name, centre in nodes.items() if centre == 'b']
@@ -66,7 +66,7 @@
 
 def test_few_holders_are_spread_over_the_data_centres() -> None:
     nodes = build_nodes(71)
-    deal = deal_connections('i-1', nodes, 53)
+    deal = allocate_connections('i-1', nodes, 53)
     per_centre = Counter(nodes[name] for name in deal.holders)
     assert set(per_centre) == set(CENTRES)
     assert max(per_centre.values()) - min(per_centre.values()) <= 1
@@ -74,16 +74,16 @@
 
 def test_servers_have_different_holders() -> None:
     nodes = build_nodes(71)
-    first = deal_connections('i-1', nodes, 53).holders
-    second = deal_connections('i-2', nodes, 53).holders
+    first = allocate_connections('i-1', nodes, 53).holders
+    second = allocate_connections('i-2', nodes, 53).holders
     assert set(first) != set(second)
 
 
 def test_one_node_that_goes_changes_one_holder() -> None:
     nodes = build_nodes(71)
-    before = deal_connections('i-1', nodes, 53).holders
+    before = allocate_connections('i-1', nodes, 53).holders
     nodes.pop(next(iter(before)))
-    after = deal_connections('i-1', nodes, 53).holders
+    after = allocate_connections('i-1', nodes, 53).holders
     assert len(set(after) - set(before)) <= 1
 
 
@@ -115,7 +115,7 @@
         )
         assert used > 0
 
-    policies = leave_out([left_out])
+    policies = exclude_policies([left_out])
     play(scenario, nodes=12, max_connections=9, policies=policies)
 
 
@@ -149,7 +149,7 @@
         assert len(primary.log) == 4
 
     for left_out in ('hedged-reads', 'forwarding'):
-        policies = leave_out([left_out])
+        policies = exclude_policies([left_out])
         play(scenario, nodes=12, max_connections=9, policies=policies)
 
 
@@ -208,7 +208,7 @@
         assert refused == 0
 
     for left_out in ('hedged-reads', 'forwarding'):
-        policies = leave_out([left_out])
+        policies = exclude_policies([left_out])
         play(
             scenario,
             nodes=12,
@@ -242,7 +242,7 @@
         assert await curio.clock() - began < 0.6
 
     for left_out in ('hedged-reads', 'forwarding'):
-        policies = leave_out([left_out])
+        policies = exclude_policies([left_out])
         play(
             scenario,
             nodes=12,
@@ -260,7 +260,7 @@
 def test_deals_of_two_servers_reach_different_nodes() -> None:
     nodes = build_nodes(71)
     held = [
-        set(deal_connections(server, nodes, 53).holders)
+        set(allocate_connections(server, nodes, 53).holders)
         for server in ('i-1', 'i-2')
     ]
     # As many as the two deals can reach, but for a fifth.
--- a/deckdrum/serving/tests/test_lost_answers.py
+++ b/deckdrum/serving/tests/test_lost_answers.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from deckdrum.serving.retries import RETRY_RESERVE
+from deckdrum.serving.retries import RETRY_BUDGET_CAPACITY
 from deckdrum.testing.nodes import (
     BOUNDED,
     CURRENT,
@@ -140,6 +140,6 @@
         for _ in range(3):
             assert (await client.ask('READ a')).is_done
         assert execution._budget.take()
-        assert execution._budget._left == RETRY_RESERVE - 1
+        assert execution._budget._left == RETRY_BUDGET_CAPACITY - 1
 
     play(scenario, work=1.5)
--- a/deckdrum/serving/times.py
+++ b/deckdrum/serving/times.py
@@ -9,17 +9,17 @@
 _DEVIATIONS: Final = 4
 #: Least patience in seconds: statements of one server differ more than their
 #: deviation tells while few of them have been seen.
-LEAST_PATIENCE: Final = 0.05
+MIN_ANSWER_TIMEOUT_S: Final = 0.05
 #: Answers before patience is known.
-_LEAST_SAMPLES: Final = 5
+_MIN_SAMPLES: Final = 5
 
 
-class AnswerTimes:
+class ResponseTimes:
     """The usual time of a server's answers, and what is late.
 
     Examples
     --------
-    >>> times = AnswerTimes()
+    >>> times = ResponseTimes()
     >>> times.patience
     inf
     >>> for _ in range(50):
@@ -44,10 +44,10 @@
 
         It is infinite while too few answers have come to tell.
         """
-        if self._samples < _LEAST_SAMPLES:
+        if self._samples < _MIN_SAMPLES:
             return float('inf')
         expected = self._usual + _DEVIATIONS * self._deviation
-        return max(LEAST_PATIENCE, expected)
+        return max(MIN_ANSWER_TIMEOUT_S, expected)
 
     def note(self, seconds: float) -> None:
         """Take over the time of one answer."""
--- a/deckdrum/serving/transactions.py
+++ b/deckdrum/serving/transactions.py
@@ -17,11 +17,11 @@
 )
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.serving.attempts import prepare_link, release_link, run_on_link
-from deckdrum.serving.execution import ANSWER_MARGIN
+from deckdrum.serving.execution import ANSWER_MARGIN_S
 from deckdrum.serving.host import Outcome, SessionHost
 from deckdrum.serving.state import (
     ForwardedTransaction,
-    Pin,
+    PinnedConnection,
     SessionState,
     Transaction,
 )
@@ -29,8 +29,8 @@
 #: Times the patience with a server, and least time in seconds, after which a
 #: statement of an open transaction is given up.  Nothing of it is kept, so its
 #: caller may begin anew while there is time.
-PINNED_PATIENCE: Final = 6
-LEAST_PINNED_WAIT: Final = 0.25
+PINNED_TIMEOUT_FACTOR: Final = 6
+MIN_PINNED_TIMEOUT_S: Final = 0.25
 
 
 class TransactionRunner:
@@ -92,7 +92,7 @@
         if forwarded is not None:
             await forwarded.release()
 
-    async def adopt_values(self, operation: SetValue) -> Outcome:
+    async def apply_value(self, operation: SetValue) -> Outcome:
         """Give a changed value to the connection of an open transaction."""
         transaction = self._state.transaction
         if transaction is None:
@@ -167,9 +167,9 @@
         self,
         request: Request,
         transaction: Transaction,
-        pin: Pin,
+        pin: PinnedConnection,
     ) -> Outcome:
-        limit = transaction.route.statement_limit - ANSWER_MARGIN
+        limit = transaction.route.statement_timeout - ANSWER_MARGIN_S
         if Policy.LOST_ANSWERS in self._host.policies:
             limit = min(limit, _find_patience(request, transaction, pin))
         sent_at = await curio.clock()
@@ -177,13 +177,13 @@
             async with curio.timeout_after(limit):
                 reply = await self._send_pinned(request, pin)
         except curio.TaskTimeout:
-            pin.handle.note_silence(await curio.clock())
-            return await self._lose_pinned(request, 'no answer in time')
+            pin.handle.record_timeout(await curio.clock())
+            return await self._fail_pinned(request, 'no answer in time')
         except ConnectionError as error:
             pin.handle.note_failure(await curio.clock(), error)
-            return await self._lose_pinned(request, repr(error))
+            return await self._fail_pinned(request, repr(error))
         now = await curio.clock()
-        pin.handle.note_answer(now)
+        pin.handle.record_answer(now)
         if isinstance(reply, Answer):
             pin.handle.times.note(now - sent_at)
         if isinstance(reply, Rejection):
@@ -195,7 +195,7 @@
     async def _send_pinned(
         self,
         request: Request,
-        pin: Pin,
+        pin: PinnedConnection,
     ) -> Answer | Rejection:
         link = pin.lease.link
         rejection = await prepare_link(link, self._state, request.operation)
@@ -212,15 +212,15 @@
         self,
         answer: Answer,
         transaction: Transaction,
-        pin: Pin,
+        pin: PinnedConnection,
     ) -> Outcome:
         await self.free(transaction, answer.standing)
         execution = self._host.find_execution(transaction.route.service)
         if execution is None or not transaction.has_written:
             return answer
-        return await execution.vouch(answer, pin.term, self._state)
+        return await execution.confirm_change(answer, pin.term, self._state)
 
-    async def _lose_pinned(self, request: Request, reason: str) -> Outcome:
+    async def _fail_pinned(self, request: Request, reason: str) -> Outcome:
         """Answer for a statement whose connection gave no answer."""
         transaction = self._state.transaction
         if transaction is None or transaction.pin is None:
@@ -256,7 +256,7 @@
 def _find_patience(
     request: Request,
     transaction: Transaction,
-    pin: Pin,
+    pin: PinnedConnection,
 ) -> float:
     """Return how long a statement may go without an answer, in seconds.
 
@@ -264,5 +264,5 @@
     """
     if isinstance(request.operation, Commit) and transaction.has_written:
         return math.inf
-    patience = pin.handle.times.patience * PINNED_PATIENCE
-    return max(LEAST_PINNED_WAIT, patience)
+    patience = pin.handle.times.patience * PINNED_TIMEOUT_FACTOR
+    return max(MIN_PINNED_TIMEOUT_S, patience)
--- a/deckdrum/store/view.py
+++ b/deckdrum/store/view.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeldRecord:
+class VersionedRecord:
     """A group's record and its version in the store."""
 
     version: int
@@ -59,11 +59,11 @@
         randomness: random.Random,
     ) -> None:
         self.store = store
-        self.records: dict[str, HeldRecord] = {}
+        self.records: dict[str, VersionedRecord] = {}
         self.configuration: ConfigurationRecord | None = None
         self.document: Document | None = None
         #: When the present configuration came into force, in kernel seconds.
-        self.in_force_since: float = 0
+        self.active_since: float = 0
         self.instances: tuple[Instance, ...] = ()
         self.is_reachable = False
         self.changed = curio.Condition()
@@ -120,7 +120,7 @@
             return False
         self.configuration = record
         self.document = document
-        self.in_force_since = await curio.clock()
+        self.active_since = await curio.clock()
         self._journal.record(
             'configuration.in_force',
             number=record.number,
@@ -130,7 +130,7 @@
             await self.changed.notify_all()
         return True
 
-    def adopt_record(self, held: HeldRecord) -> bool:
+    def adopt_record(self, held: VersionedRecord) -> bool:
         """Take over a group's record if its version is newer."""
         name = held.record.service
         known = self.records.get(name)
@@ -163,7 +163,7 @@
             return await self._read_back(record)
         if not isinstance(outcome, Stored):
             return await self._read_back(record)
-        self.adopt_record(HeldRecord(outcome.version, record))
+        self.adopt_record(VersionedRecord(outcome.version, record))
         return True
 
     async def _read_back(self, record: GroupRecord) -> bool:
@@ -182,7 +182,7 @@
                 )
             elif entry.path.startswith(RECORDS_PREFIX):
                 record = GroupRecord.decode(entry.body)
-                self.adopt_record(HeldRecord(entry.version, record))
+                self.adopt_record(VersionedRecord(entry.version, record))
         except ValidationError as error:
             self._journal.record(
                 'platform.bad_object',
--- a/deckdrum/testing/limits.py
+++ b/deckdrum/testing/limits.py
@@ -7,14 +7,14 @@
 from deckdrum.fleet.health import PeerHealth
 from deckdrum.fleet.limits import AskLimit
 from deckdrum.fleet.messages import Heartbeat
-from deckdrum.fleet.nodes import NodePeers, PeerAnswer
-from deckdrum.limits import LimitAsker, LimitCounter
-from deckdrum.load.limits import STANDARD_TOLERANCE
+from deckdrum.fleet.node_peers import NodePeers, PeerAnswer
+from deckdrum.limits import LimitClient, LimitCounter
+from deckdrum.load.limits import DEFAULT_TOLERANCE
 from deckdrum.outcomes import Refusal
 from deckdrum.utils import Address
 from deckdrum.utils.counters import Counters
 from deckdrum.utils.journal import silent_journal
-from deckdrum.workspaces import Workspace, WorkspaceBook
+from deckdrum.workspaces import Workspace, WorkspaceDirectory
 
 #: One way between two nodes, in seconds.
 HOP = 0.0005
@@ -78,8 +78,8 @@
         self.view = ControlView(None, journal)  # type: ignore[arg-type]
         peers = FleetPeers(fleet, number)
         name = f'n{number}'
-        self.counter = LimitCounter(name, self.view, peers, STANDARD_TOLERANCE)
-        self.asker = LimitAsker(
+        self.counter = LimitCounter(name, self.view, peers, DEFAULT_TOLERANCE)
+        self.asker = LimitClient(
             name,
             self.view,
             peers,
@@ -124,14 +124,14 @@
             centre = CENTRES[number % len(CENTRES)]
             member = Member(f'n{number}', f'127.0.0.1:{number}', centre, 'run')
             entry = Entry(member.name, number + 1, member)
-            await node.view.adopt_entry(Kind.MEMBERS, entry)
-        await node.counter.adopt_members()
+            await node.view.apply_entry(Kind.MEMBERS, entry)
+        await node.counter.apply_members()
 
     async def limit(self, workspace: Workspace) -> None:
         """Bring a limit into force on every node."""
         self.workspace = workspace
         self._version += 1
-        book = WorkspaceBook({workspace.name: workspace}, {})
+        book = WorkspaceDirectory({workspace.name: workspace}, {})
         for node in self.nodes:
             node.view.configuration = Configuration(
                 self._version, {}, {}, 3, b'', book
@@ -151,7 +151,7 @@
 
     async def send(self, number: int) -> Refusal | None:
         """Let a caller of a node begin an operation."""
-        refusal = await self.nodes[number].asker.spend(self.workspace)
+        refusal = await self.nodes[number].asker.try_begin(self.workspace)
         if refusal is None:
             self.begun.append(await curio.clock())
         else:
--- a/deckdrum/testing/nodes.py
+++ b/deckdrum/testing/nodes.py
@@ -362,7 +362,7 @@
 
 def _has_primary(node: Node) -> bool:
     runtime = node.services.get(SERVICE)
-    return runtime is not None and runtime.belief.has_primary
+    return runtime is not None and runtime.leadership_state.has_primary
 
 
 def take_address() -> Address:
--- a/deckdrum/workspaces/__init__.py
+++ b/deckdrum/workspaces/__init__.py
@@ -1,15 +1,15 @@
 """Workspaces: whose keys open which routes, and how much each may ask for."""
 
 from deckdrum.workspaces.records import (
-    NOBODY,
+    ANONYMOUS,
     Workspace,
-    WorkspaceBook,
+    WorkspaceDirectory,
     fingerprint_key,
 )
 
 __all__ = [
-    'NOBODY',
+    'ANONYMOUS',
     'Workspace',
-    'WorkspaceBook',
+    'WorkspaceDirectory',
     'fingerprint_key',
 ]
--- a/deckdrum/workspaces/records.py
+++ b/deckdrum/workspaces/records.py
@@ -34,11 +34,11 @@
 
 
 #: Stands for the callers of deployments and routes that ask for no key.
-NOBODY: Final = Workspace('')
+ANONYMOUS: Final = Workspace('')
 
 
 @dataclass(frozen=True, slots=True)
-class WorkspaceBook:
+class WorkspaceDirectory:
     """The workspaces of one configuration.
 
     Attributes
@@ -51,19 +51,19 @@
     Examples
     --------
     >>> print_of_key = fingerprint_key('nirth5mgjy5rcpihhacr')
-    >>> book = WorkspaceBook(
+    >>> book = WorkspaceDirectory(
     ...     {'growers': Workspace('growers')},
     ...     {print_of_key: 'growers'},
     ... )
-    >>> book.find_by_key(print_of_key).name
+    >>> book.find_by_fingerprint(print_of_key).name
     'growers'
-    >>> book.find_by_key(fingerprint_key('another'))
+    >>> book.find_by_fingerprint(fingerprint_key('another'))
     """
 
     workspaces: Mapping[str, Workspace]
     holders: Mapping[str, str]
 
-    def find_by_key(self, fingerprint: str) -> Workspace | None:
+    def find_by_fingerprint(self, fingerprint: str) -> Workspace | None:
         """Return the workspace that holds a key now, if any does."""
         name = self.holders.get(fingerprint)
         return None if name is None else self.workspaces.get(name)
--- a/deckdrum/workspaces/tests/test_keys.py
+++ b/deckdrum/workspaces/tests/test_keys.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from deckdrum.fleet.questions import AskNews
+from deckdrum.fleet.node_messages import AskNews
 from deckdrum.platform.configuration import decode_configuration
 from deckdrum.standins.users.store import StoreFault
 from deckdrum.testing.nodes import (
@@ -240,7 +240,7 @@
             for running in deployment.nodes:
                 node = running.node
                 told += node.counters.render().decode()
-                told += str(node.peers.tell_news(AskNews(0, {})))
+                told += str(node.peers.collect_updates(AskNews(0, {})))
                 configuration = node.view.configuration
                 assert configuration is not None
                 told += configuration.encoded.decode()
