--- a/deckdrum/leadership/__init__.py
+++ b/deckdrum/leadership/__init__.py
@@ -1,4 +1,4 @@
-"""Who leads a database group, until when that may be believed, and change."""
+"""Leadership of database groups: current primary, proof of it, and failover."""
 
 from deckdrum.leadership.promotion_client import (
     PromotionClient,
--- a/deckdrum/leadership/context.py
+++ b/deckdrum/leadership/context.py
@@ -1,4 +1,4 @@
-"""What the steps of a change of primary hand to one another."""
+"""Data types shared by the steps of a primary change."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -14,17 +14,37 @@
 from deckdrum.store.records import GroupRecord
 from deckdrum.utils import Journal
 
-#: Pause between two rounds of questions, in seconds.
+#: Interval at which servers are polled for an expected state.
 POLL_INTERVAL_S: Final = 0.03
 
 
 @dataclass(slots=True)
 class PrimaryChangeReport:
-    """One change of primary.
+    """Progress of one primary change.
 
-    `is_takeover` tells that another node has left it undone; `phases` maps
-    steps to their end, in seconds.  Once the former primary may have stepped
-    down, its term cannot go on.  `finding` tells what stood in the way.
+    Attributes
+    ----------
+    service : str
+        The database group.
+    former : str
+        Id of the primary to replace.
+    reason : str
+        Why it is replaced.
+    is_planned : bool
+        Whether the former primary still works and can hand over.
+    is_takeover : bool
+        Whether another node claimed the change and did not finish it.
+    term : int
+        Term of the new primary; 0 before the claim.
+    promoted : str
+        Id of the new primary; empty before the promotion.
+    step_down_requested : bool
+        Whether the former primary may have stepped down, so that its term
+        cannot resume.
+    failure_detail : str
+        What prevented the change.
+    phases : dict of str to float
+        End of each step, in kernel seconds.
     """
 
     service: str
@@ -35,15 +55,15 @@
     term: int = 0
     promoted: str = ''
     step_down_requested: bool = False
-    finding: str = ''
+    failure_detail: str = ''
     phases: dict[str, float] = field(default_factory=dict)
 
-    async def note(self, phase: str) -> None:
-        """Note that a step has just ended."""
+    async def record_phase(self, phase: str) -> None:
+        """Record that a step has just ended."""
         self.phases[phase] = await curio.clock()
 
     def log(self, journal: Journal, event: str, reason: str) -> None:
-        """Write how far the change has come."""
+        """Log the state of the change."""
         start = min(self.phases.values(), default=0)
         journal.record(
             event,
@@ -53,7 +73,7 @@
             primary=self.promoted,
             planned=self.is_planned,
             reason=reason,
-            finding=self.finding,
+            finding=self.failure_detail,
             phases={
                 name: round(ended_at - start, 3)
                 for name, ended_at in self.phases.items()
@@ -63,20 +83,18 @@
 
 @dataclass(frozen=True, slots=True)
 class TermEndVotes:
-    """Which nodes have stopped to use a term; dead processes count.
+    """Which nodes have stopped using a term's primary.
 
-    Without more than half of the registered nodes nothing is changed.  The
-    agreement that a term goes on asks for more than half too; so it includes
-    one that has consented to the term's end.
+    A node whose process is not running counts as stopped.
 
     Attributes
     ----------
-    has_most : bool
-        Whether more than half have.
+    has_majority : bool
+        Whether more than half of the registered nodes have stopped.
     is_unanimous : bool
-        Whether every one that was asked has.
+        Whether every node that was asked has stopped, and none is missing.
     asked : frozenset of str
-        The nodes that were asked, this one among them.
+        The nodes that were asked, including this one.
     """
 
     has_majority: bool
@@ -86,45 +104,51 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipClaim:
-    """The right to change a group's primary.
+    """The exclusive right to change a group's primary.
 
-    `fence` is the revision of the claimed record; `sent_at` is when the
-    claim was sent, in kernel seconds.
+    Attributes
+    ----------
+    record : GroupRecord
+        The claimed record.
+    fencing_token : int
+        Revision of the claimed record.
+    sent_at : float
+        When the claim was sent to the store, in kernel seconds.
     """
 
     record: GroupRecord
-    fence: int
+    fencing_token: int
     sent_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipContext:
-    """What a node provides to those who watch and change its primaries.
+    """Services of the node that monitoring and primary changes use.
 
     Attributes
     ----------
     node : str
         Name of the node.
     view : ControlView
-        What it knows of the store.
+        The node's copy of the control store.
     store : ControlStore
-        Where claims are made.
-    duty : PromotionDuty
-        The platform's call.
+        Stores claims.
+    promotion_client : PromotionClient
+        Calls the platform to promote a server.
     peers : NodePeers
         The other nodes.
     dialer : DetourDialer
-        Takes the detours that are found.
+        Connects to servers, directly or by a detour through another node.
     randomness : random.Random
-        Source of operation ids.
+        Generates operation ids and samples nodes.
     policies : frozenset of Policy
-        Mechanisms in force.
+        Enabled mechanisms.
     """
 
     node: str
     view: ControlView
     store: ControlStore
-    duty: PromotionClient
+    promotion_client: PromotionClient
     peers: NodePeers
     dialer: DetourDialer
     randomness: Random
--- a/deckdrum/leadership/fencing.py
+++ b/deckdrum/leadership/fencing.py
@@ -1,4 +1,7 @@
-"""Having the replicas of a group hold their logs, and ranking them."""
+"""Fencing the replicas of a group before a promotion, and ranking them.
+
+A fenced replica receives no log of an earlier term, so its position is final.
+"""
 
 from collections.abc import Iterable, Mapping
 from typing import Final
@@ -10,16 +13,16 @@
 from deckdrum.serving.servers import ServerHandle
 from deckdrum.serving.service import ServiceRuntime
 
-#: Longest wait for enough replicas to hold, in seconds; after it a group
-#: without synchronous replicas goes on with those that there are.
+#: Longest wait for enough fenced replicas; after it a group without synchronous
+#: replicas continues with those that are fenced.
 FENCE_TIMEOUT_S: Final = 1.2
-#: Longest wait for a replica to say that it holds still, in seconds; longer
-#: than a full queue of short statements takes.
+#: Longest wait for a replica to confirm that it is still fenced; it must exceed
+#: the time that a full queue of short statements takes.
 FENCE_CHECK_TIMEOUT_S: Final = 0.4
 
 
 class ReplicaFencing:
-    """Has the replicas of one group hold.
+    """Fences the replicas of one group.
 
     Parameters
     ----------
@@ -31,72 +34,71 @@
         self._runtime = runtime
 
     def describe(self) -> str:
-        """Return what each server last said of itself, for the log."""
+        """Return the last known state of each server, for the log."""
         return '; '.join(
             f'{name}: {_describe_state(handle)}'
             for name, handle in self._runtime.servers.items()
         )
 
     async def count_reachable_replicas(self, former: str) -> int:
-        """Return how many of the servers but the former primary answer."""
+        """Return how many servers other than the former primary answer."""
         replicas = self._list_replicas(former)
-        asking = [await curio.spawn(_answers, handle) for handle in replicas]
-        return sum([await task.join() for task in asking])
+        tasks = [
+            await curio.spawn(_is_responsive, handle) for handle in replicas
+        ]
+        return sum([await task.join() for task in tasks])
 
     async def are_still_fenced(
         self,
-        held: Mapping[str, ServerStatus],
+        fenced: Mapping[str, ServerStatus],
         term: int,
     ) -> bool:
-        """Tell whether all that were found to hold do so without a break."""
-        handles = [self._runtime.servers.get(name) for name in held]
-        asking = [
-            await curio.spawn(_holds_still, handle, term)
+        """Return whether all replicas that were fenced still are."""
+        handles = [self._runtime.servers.get(name) for name in fenced]
+        tasks = [
+            await curio.spawn(_is_still_fenced, handle, term)
             for handle in handles
             if handle is not None
         ]
-        holding = [await task.join() for task in asking]
-        return len(holding) == len(handles) and all(holding)
+        confirmed = [await task.join() for task in tasks]
+        return len(confirmed) == len(handles) and all(confirmed)
 
-    async def hold(
+    async def fence(
         self,
         term: int,
         former: str,
     ) -> dict[str, ServerStatus] | None:
-        """Have the replicas hold; return their states, None if too few."""
+        """Fence the replicas; return their states, or None if too few."""
         replicas = self._list_replicas(former)
-        held: dict[str, ServerStatus] = {}
-        needed = self.needed
+        fenced: dict[str, ServerStatus] = {}
+        required = self.required
         async with curio.ignore_after(FENCE_TIMEOUT_S):
-            while len(held) < len(replicas):
-                await _hold_each(replicas, term, held)
-                if len(held) >= needed and len(held) + 1 >= len(replicas):
+            while len(fenced) < len(replicas):
+                await _fence_each(replicas, term, fenced)
+                if len(fenced) >= required and len(fenced) + 1 >= len(replicas):
                     break
-                missing = [each for each in replicas if each.id not in held]
+                missing = [each for each in replicas if each.id not in fenced]
                 is_dead = all(each.is_refusing for each in missing)
-                if is_dead and self._may_go_on(held):
+                if is_dead and self._can_continue_with(fenced):
                     break
                 await curio.sleep(POLL_INTERVAL_S)
-        if len(held) >= needed or self._may_go_on(held):
-            return held
+        if len(fenced) >= required or self._can_continue_with(fenced):
+            return fenced
         return None
 
     @property
-    def needed(self) -> int:
-        """How many replicas must hold.
+    def required(self) -> int:
+        """Number of replicas that must be fenced.
 
-        Enough that no node finds proof of the old term, and that one of
-        them has each change that a synchronous replica has received.
+        Enough that no node can get proof of the old term, and that one of
+        them has every write that was acknowledged by synchronous replicas.
         """
-        leadership_state = self._runtime.leadership_state
+        state = self._runtime.leadership_state
         replicas = len(self._runtime.servers) - 1
         synchronous = self._runtime.declaration.synchronous_replicas
         if not synchronous:
-            return leadership_state.required_fenced_replicas
-        return max(
-            leadership_state.required_fenced_replicas,
-            replicas - synchronous + 1,
-        )
+            return state.required_fenced_replicas
+        return max(state.required_fenced_replicas, replicas - synchronous + 1)
 
     def _list_replicas(self, former: str) -> list[ServerHandle]:
         return [
@@ -105,49 +107,48 @@
             if name != former
         ]
 
-    def _may_go_on(self, held: dict[str, ServerStatus]) -> bool:
-        """Tell whether fewer holds than needed will do, after a wait.
+    def _can_continue_with(self, fenced: dict[str, ServerStatus]) -> bool:
+        """Return whether fewer fenced replicas than required are accepted.
 
-        A change that was acknowledged by synchronous replicas must not be
-        missing; without them a server that is gone for good must not keep
-        the group without a primary.
+        Only a group without synchronous replicas accepts them, so that a
+        server that is lost for good does not block its failover.
         """
         synchronous = self._runtime.declaration.synchronous_replicas
-        return bool(held) and not synchronous
+        return bool(fenced) and not synchronous
 
 
 def rank_promotion_candidates(
     runtime: ServiceRuntime,
-    held: dict[str, ServerStatus],
+    fenced: dict[str, ServerStatus],
     former: str,
 ) -> list[ServerHandle]:
-    """Return who may lead, the best first.
+    """Return the replicas that may be promoted, the best first.
 
-    The furthest log goes first, and of equals one that is to stay.  Others
-    follow only in a group whose changes need no synchronous replica.
+    The most advanced log comes first; among equals, servers that are not
+    draining.  With synchronous replicas only the most advanced are returned.
     """
-    fitting = {
+    eligible = {
         name: status
-        for name, status in held.items()
+        for name, status in fenced.items()
         if runtime.has_log(name, status.received)
     }
-    end = max((each.received for each in fitting.values()), default=None)
+    end = max((each.received for each in eligible.values()), default=None)
     ranked = sorted(
         (
             handle
             for name, handle in runtime.servers.items()
-            if name in fitting and name != former
+            if name in eligible and name != former
         ),
         key=lambda handle: (
-            -held[handle.id].received.term,
-            -held[handle.id].received.offset,
+            -fenced[handle.id].received.term,
+            -fenced[handle.id].received.offset,
             handle.server.is_draining,
             handle.id,
         ),
     )
     if not runtime.declaration.synchronous_replicas:
         return ranked
-    return [handle for handle in ranked if held[handle.id].received == end]
+    return [handle for handle in ranked if fenced[handle.id].received == end]
 
 
 def _describe_state(handle: ServerHandle) -> str:
@@ -157,19 +158,19 @@
     end = status.received
     return (
         f'{status.role} of term {status.term} up to {end.term}.{end.offset}, '
-        f'holds for {status.held_term}'
+        f'fenced for {status.held_term}'
     )
 
 
-async def _answers(handle: ServerHandle) -> bool:
-    """Tell whether a server says anything; one without room says so."""
+async def _is_responsive(handle: ServerHandle) -> bool:
+    """Return whether a server answers at all, if only that it is full."""
     asked_at = await curio.clock()
     status = await handle.query_status_shared()
     return status is not None or handle.has_answered(asked_at)
 
 
-async def _holds_still(handle: ServerHandle, term: int) -> bool:
-    """Tell whether a replica says that it holds; one without room may wait."""
+async def _is_still_fenced(handle: ServerHandle, term: int) -> bool:
+    """Return whether a replica is still fenced; retry while it is full."""
     async with curio.ignore_after(FENCE_CHECK_TIMEOUT_S):
         while True:
             status = await handle.query_status()
@@ -179,22 +180,22 @@
     return False
 
 
-async def _hold_each(
+async def _fence_each(
     replicas: Iterable[ServerHandle],
     term: int,
-    held: dict[str, ServerStatus],
+    fenced: dict[str, ServerStatus],
 ) -> None:
-    async with curio.TaskGroup() as holding:
+    async with curio.TaskGroup() as fencing:
         for handle in replicas:
-            if handle.id not in held:
-                await holding.spawn(_hold_one, handle, term, held)
+            if handle.id not in fenced:
+                await fencing.spawn(_fence_one, handle, term, fenced)
 
 
-async def _hold_one(
+async def _fence_one(
     handle: ServerHandle,
     term: int,
-    held: dict[str, ServerStatus],
+    fenced: dict[str, ServerStatus],
 ) -> None:
     status = await handle.execute_command('hold', term)
     if status is not None and status.held_term >= term:
-        held[handle.id] = status
+        fenced[handle.id] = status
--- a/deckdrum/leadership/orders.py
+++ b/deckdrum/leadership/orders.py
@@ -1,4 +1,4 @@
-"""Ordering the promotion of a server, until one leads."""
+"""Promoting one of the candidates through the platform."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -22,79 +22,78 @@
 from deckdrum.serving.servers import ServerHandle
 from deckdrum.serving.service import ServiceRuntime
 
-#: Longest wait for the platform's answer to a promotion, in seconds.
+#: Longest wait for the platform's answer to a promotion request.
 PROMOTION_CALL_TIMEOUT_S: Final = 0.6
-#: Longest wait for a promoted server to lead, in seconds; a promotion takes
-#: 0.3 to 0.6 s.
+#: Longest wait for a promoted server to report that it is primary.
 PROMOTION_TIMEOUT_S: Final = 2.0
-#: Time between a promotion without an answer and its repetition, in seconds.
+#: Wait before a promotion request without an answer is repeated.
 PROMOTION_RETRY_DELAY_S: Final = 0.9
 
 
 class ServerPromoter:
-    """Orders promotions of one group's servers.
+    """Promotes servers of one group.
 
     Parameters
     ----------
     runtime : ServiceRuntime
         The group.
-    tools : ChangeTools
-        What the node provides.
-    claims : ClaimBook
-        Tells whether a claim has been overtaken.
+    context : LeadershipContext
+        Services of the node.
+    records : LeadershipRecordStore
+        Knows whether a claim has been superseded.
     """
 
     def __init__(
         self,
         runtime: ServiceRuntime,
-        tools: LeadershipContext,
-        claims: LeadershipRecordStore,
+        context: LeadershipContext,
+        records: LeadershipRecordStore,
     ) -> None:
         self._runtime = runtime
-        self._tools = tools
-        self._claims = claims
+        self._context = context
+        self._records = records
 
     async def promote(
         self,
         report: PrimaryChangeReport,
         claim: LeadershipClaim,
-        successors: Iterable[ServerHandle],
+        candidates: Iterable[ServerHandle],
     ) -> str | None:
-        """Promote the first successor that runs; return its id."""
-        for handle in successors:
-            order = PromotionRequest(
+        """Promote the first candidate that can be; return its id."""
+        for handle in candidates:
+            request = PromotionRequest(
                 self._runtime.name,
                 handle.id,
-                self._tools.node,
-                claim.fence,
+                self._context.node,
+                claim.fencing_token,
             )
-            if await self._order(order, claim, handle):
+            if await self._promote_one(request, claim, handle):
                 report.promoted = handle.id
-                await report.note('promote')
+                await report.record_phase('promote')
                 return handle.id
         return None
 
-    async def _order(
+    async def _promote_one(
         self,
-        order: PromotionRequest,
+        request: PromotionRequest,
         claim: LeadershipClaim,
         handle: ServerHandle,
     ) -> bool:
-        """Order a promotion until the server leads or refuses."""
+        """Request a promotion until it succeeds, is refused or times out."""
         while True:
             remaining = claim.sent_at + CLAIM_LIFETIME_S - await curio.clock()
             if remaining < PROMOTION_CALL_TIMEOUT_S:
                 return False
-            if self._claims.is_superseded(claim):
+            if self._records.is_superseded(claim):
                 return False
-            outcome = await self._tools.duty.promote(
-                order, PROMOTION_CALL_TIMEOUT_S
+            outcome = await self._context.promotion_client.promote(
+                request, PROMOTION_CALL_TIMEOUT_S
             )
             self._runtime.journal.record(
                 'leadership.ordered',
-                service=order.service,
-                server=order.server,
-                fence=order.fence,
+                service=request.service,
+                server=request.server,
+                fence=request.fence,
                 term=claim.record.term,
                 outcome=outcome,
             )
@@ -103,27 +102,28 @@
             if outcome is PromotionOutcome.NOT_ATTEMPTED:
                 await curio.sleep(POLL_INTERVAL_S)
                 continue
-            is_sure = outcome is PromotionOutcome.ACCEPTED
-            limit = PROMOTION_TIMEOUT_S if is_sure else PROMOTION_RETRY_DELAY_S
-            if await self._await_lead(handle, claim.record.term, limit):
+            is_accepted = outcome is PromotionOutcome.ACCEPTED
+            timeout = (
+                PROMOTION_TIMEOUT_S if is_accepted else PROMOTION_RETRY_DELAY_S
+            )
+            if await self._wait_until_primary(
+                handle, claim.record.term, timeout
+            ):
                 return True
-            if is_sure:
+            if is_accepted:
                 return False
 
-    async def _await_lead(
+    async def _wait_until_primary(
         self,
         handle: ServerHandle,
         term: int,
-        limit: float,
+        timeout: float,
     ) -> bool:
-        async with curio.ignore_after(limit):
+        async with curio.ignore_after(timeout):
             while True:
                 await self._runtime.ask(handle)
-                leadership_state = self._runtime.leadership_state
-                if (
-                    leadership_state.primary == handle.id
-                    and leadership_state.term >= term
-                ):
+                state = self._runtime.leadership_state
+                if state.primary == handle.id and state.term >= term:
                     return True
                 await curio.sleep(POLL_INTERVAL_S)
         return False
--- a/deckdrum/leadership/promotion.py
+++ b/deckdrum/leadership/promotion.py
@@ -1,23 +1,25 @@
-"""The steps by which a group gets another primary.
+"""Replacing a group's primary, step by step.
 
-1. *claim*: a conditional update of the group's record names this node as the
-   driver; the record's new revision is the fence, so fences only rise.
+1. *claim*: a conditional update of the leadership record names this node as
+   the driver.  The new revision of the record is the fencing token, so tokens
+   only increase.
 2. *end the term*: every node is told to stop using the primary.  A node that
-   confirms, or whose process does not run, holds no proof any more.
-3. *step down*: a primary that still answers takes no more changes, and a
+   confirms, or whose process is not running, no longer has proof of the term.
+3. *step down* (planned changes): the primary stops accepting writes, and a
    successor catches up with it.
-4. *hold*: the replicas stop to receive, so that no node finds new proof and
-   their positions stand still.
-5. *wait* until old proof has run out, unless every node has confirmed.
-6. *promote* the furthest, if the replicas hold still, and *settle* the record.
+4. *fence*: the replicas stop receiving the old primary's log, so that no node
+   can get new proof and the replicas' positions are final.
+5. *wait* until existing proof has expired, unless every node has confirmed.
+6. *promote* the most advanced replica, if the replicas are still fenced, and
+   *settle* the record.
 
-Proof comes from a majority of the servers, or from the store.  Once the record
-is claimed and the replicas hold there is none, whoever is out of reach: so many
-nodes may be cut off from the driver.  Only if fewer replicas hold than that
-takes, or if the change is planned and may as well wait, most nodes consent.
-Nothing is claimed, and nobody's term ends, before the replicas have answered.
+Proof of a term comes from a majority of the servers or from the store.  Once
+the record is claimed and the replicas are fenced, no node can get any, even one
+that the driver cannot reach.  A majority of the nodes must confirm only if too
+few replicas are fenced, or if the change is planned and can be postponed.
+Nothing is claimed before enough replicas or nodes have answered.
 
-A driver that dies leaves a claimed record; another node takes it over.
+If a driver dies, another node takes over its claim.
 """
 
 from typing import Final
@@ -47,85 +49,91 @@
 from deckdrum.serving.service import ServiceRuntime
 from deckdrum.sessions import Position
 
-#: Longest wait for the nodes to confirm that they have stopped, in seconds;
-#: above a round trip between data centres and one statement under way.
+#: Longest wait for nodes to confirm the end of a term; more than a round trip
+#: between data centres plus one statement in progress.
 END_TERM_TIMEOUT_S: Final = 0.3
-#: Longest wait for a successor to catch up with a planned change, in seconds.
+#: Longest wait for a successor to catch up in a planned change.
 SUCCESSOR_CATCH_UP_TIMEOUT_S: Final = 1.5
-#: Silent nodes that a line of the log names.
+#: Unresponsive nodes that one log line names.
 MAX_LOGGED_NODES: Final = 8
 
 
 class PrimaryChanger:
-    """Gives one group another primary.
+    """Changes the primary of one group.
 
     Parameters
     ----------
     runtime : ServiceRuntime
         The group.
-    tools : ChangeTools
-        What the node provides.
+    context : LeadershipContext
+        Services of the node.
     """
 
     def __init__(
-        self, runtime: ServiceRuntime, tools: LeadershipContext
+        self, runtime: ServiceRuntime, context: LeadershipContext
     ) -> None:
         self._runtime = runtime
-        self._tools = tools
-        self._claims = LeadershipRecordStore(runtime, tools)
-        self._holds = ReplicaFencing(runtime)
-        self._orders = ServerPromoter(runtime, tools, self._claims)
+        self._context = context
+        self._records = LeadershipRecordStore(runtime, context)
+        self._fencing = ReplicaFencing(runtime)
+        self._promoter = ServerPromoter(runtime, context, self._records)
 
-    async def drive(self, report: PrimaryChangeReport) -> bool:
-        """Change the primary; tell whether the group has one afterwards."""
+    async def run(self, report: PrimaryChangeReport) -> bool:
+        """Change the primary; return whether it succeeded."""
         if self._runtime.is_changing_primary:
             return False
         self._runtime.is_changing_primary = True
         try:
-            return await self._drive(report)
+            return await self._run_claimed(report)
         finally:
             self._runtime.is_changing_primary = False
 
-    async def mend(self) -> None:
-        """Have every server follow the present term."""
+    async def reconcile_servers(self) -> None:
+        """Make every server follow the current term."""
         if not self._runtime.leadership_state.has_primary:
             return
-        # At once: a server that is silent must not keep others waiting.
-        async with curio.TaskGroup() as mending:
+        # Concurrently: an unresponsive server must not delay the others.
+        async with curio.TaskGroup() as reconciling:
             for handle in self._runtime.replicas:
-                await mending.spawn(self._mend_one, handle)
+                await reconciling.spawn(self._reconcile_server, handle)
 
-    async def _drive(self, report: PrimaryChangeReport) -> bool:
-        if not await self._may_win(report.former):
-            self._log('leadership.change_hopeless', report, 'too few answer')
+    async def _run_claimed(self, report: PrimaryChangeReport) -> bool:
+        if not await self._can_succeed(report.former):
+            self._log(
+                'leadership.change_hopeless', report, 'too few servers answer'
+            )
             return False
-        claim = await self._claims.make(report)
+        claim = await self._records.claim(report)
         if claim is None:
             return False
-        await report.note('claim')
+        await report.record_phase('claim')
         try:
-            successors = await self._prepare(report, claim)
-            if successors is None:
-                return await self._give_up(report, claim)
-            promoted = await self._orders.promote(report, claim, successors)
+            candidates = await self._prepare(report, claim)
+            if candidates is None:
+                return await self._abandon(report, claim)
+            promoted = await self._promoter.promote(report, claim, candidates)
         except StoreError as error:
             self._log('leadership.change_failed', report, str(error))
             return False
         if promoted is None:
-            self._log('leadership.change_failed', report, 'nobody leads')
+            self._log(
+                'leadership.change_failed',
+                report,
+                'no candidate became primary',
+            )
             return False
-        await self._claims.settle(report, claim, promoted)
-        await report.note('settle')
-        await self.mend()
+        await self._records.settle(report, claim, promoted)
+        await report.record_phase('settle')
+        await self.reconcile_servers()
         self._log('leadership.changed', report, report.reason)
         return True
 
-    async def _may_win(self, former: str) -> bool:
-        """Tell whether replicas enough answer now, or nodes enough."""
-        answering = await self._holds.count_reachable_replicas(former)
-        if answering >= self._holds.needed:
+    async def _can_succeed(self, former: str) -> bool:
+        """Return whether enough replicas, or enough nodes, answer now."""
+        answering = await self._fencing.count_reachable_replicas(former)
+        if answering >= self._fencing.required:
             return True
-        answers = await self._tools.peers.ask_all(
+        answers = await self._context.peers.ask_all(
             Heartbeat(), END_TERM_TIMEOUT_S
         )
         alive = [
@@ -133,12 +141,12 @@
             for answer in answers.values()
             if isinstance(answer, Heartbeat | ConnectionRefusedError)
         ]
-        # This node counts as one of them.
-        registered = self._tools.peers.count_registered()
+        # Plus one for this node.
+        registered = self._context.peers.count_registered()
         return answering > 0 and (len(alive) + 1) * 2 > registered
 
-    async def _mend_one(self, handle: ServerHandle) -> None:
-        """Have one server follow the present term."""
+    async def _reconcile_server(self, handle: ServerHandle) -> None:
+        """Make one server follow the current term."""
         term = self._runtime.leadership_state.term
         status = await self._runtime.ask(handle)
         if status is None:
@@ -153,78 +161,90 @@
         report: PrimaryChangeReport,
         claim: LeadershipClaim,
     ) -> list[ServerHandle] | None:
-        """End the old term safely; return who may lead, the best first."""
+        """End the old term safely; return the candidates, the best first."""
         term = claim.record.term
         former = self._runtime.servers.get(report.former)
-        ready = await self._stop_term(report, claim)
-        if ready is None:
+        ended = await self._stop_old_term(report, claim)
+        if ended is None:
             return None
-        held, consent = ready
-        held_at = await curio.clock()
-        all_ended = await self._has_ended_everywhere(consent)
+        fenced, votes = ended
+        fenced_at = await curio.clock()
+        all_ended = await self._has_ended_everywhere(votes)
         if not all_ended:
             await curio.sleep(PROOF_LIFETIME_S)
-            await report.note('wait')
-        if not await self._holds.are_still_fenced(held, term):
-            # One that has restarted may have given proof meanwhile.
-            report.finding = f'no longer held: {self._holds.describe()}'
+            await report.record_phase('wait')
+        if not await self._fencing.are_still_fenced(fenced, term):
+            # A replica that restarted may have given proof of the old term.
+            report.failure_detail = (
+                f'no longer fenced: {self._fencing.describe()}'
+            )
             return None
         if former is not None:
-            # It may have come to life meanwhile; a promotion ends its term.
+            # It may be reachable again; the promotion ends its term.
             await former.execute_command(
                 'step_down', term, limit=POLL_INTERVAL_S
             )
         self._log(
             'leadership.prepared',
             report,
-            f'{len(held)} hold, all ended: {all_ended}, '
-            f'{await curio.clock() - held_at:.3f} s waited',
+            f'{len(fenced)} fenced, all ended: {all_ended}, '
+            f'{await curio.clock() - fenced_at:.3f} s waited',
         )
-        successors = rank_promotion_candidates(
-            self._runtime, held, report.former
+        candidates = rank_promotion_candidates(
+            self._runtime, fenced, report.former
         )
-        if not successors:
-            report.finding = f'none has the log: {self._holds.describe()}'
-        return successors or None
+        if not candidates:
+            report.failure_detail = (
+                f'no replica has the complete log: {self._fencing.describe()}'
+            )
+        return candidates or None
 
-    async def _stop_term(
+    async def _stop_old_term(
         self,
         report: PrimaryChangeReport,
         claim: LeadershipClaim,
     ) -> tuple[dict[str, ServerStatus], TermEndVotes] | None:
-        """Have nodes, primary and replicas stop; None if that is too few.
+        """End the old term at nodes, primary and replicas.
 
         Returns
         -------
         tuple or None
-            The replicas that hold, and the nodes that have stopped.
+            The fenced replicas and the nodes that have stopped; None if there
+            are too few of them.
         """
         term = claim.record.term
         ending = await curio.spawn(self._end_term, report, claim)
         if report.is_planned:
             if not (await ending.join()).has_majority:
-                report.finding = 'most nodes do not consent'
+                report.failure_detail = (
+                    'no majority of the nodes has ended the term'
+                )
                 return None
             await self._step_down(report, term)
-        # Otherwise at the same time: the nodes may be out of reach.
-        held = await self._holds.hold(term, report.former)
-        await report.note('hold')
-        consent: TermEndVotes = await ending.join()
-        await report.note('end term')
-        if held is None:
-            report.finding = f'nobody holds: {self._holds.describe()}'
+        # An unplanned change fences at once, as nodes may be unreachable.
+        fenced = await self._fencing.fence(term, report.former)
+        await report.record_phase('hold')
+        votes: TermEndVotes = await ending.join()
+        await report.record_phase('end term')
+        if fenced is None:
+            report.failure_detail = (
+                f'too few replicas fenced: {self._fencing.describe()}'
+            )
             return None
-        if len(held) < self._holds.needed and not consent.has_majority:
-            report.finding = f'few hold or consent: {self._holds.describe()}'
+        if len(fenced) < self._fencing.required and not votes.has_majority:
+            report.failure_detail = (
+                'too few replicas fenced and nodes stopped: '
+                f'{self._fencing.describe()}'
+            )
             return None
-        return held, consent
+        return fenced, votes
 
     async def _step_down(
         self,
         report: PrimaryChangeReport,
         term: int,
     ) -> None:
-        """Have a primary step down, and a successor catch up with it."""
+        """Make a primary step down, and let a successor catch up."""
         former = self._runtime.servers.get(report.former)
         if former is None:
             return
@@ -232,62 +252,66 @@
         status = await former.execute_command('step_down', term)
         final = None if status is None else status.received
         await self._catch_up(final, former.id)
-        await report.note('step down')
+        await report.record_phase('step down')
 
     async def _end_term(
         self, report: PrimaryChangeReport, claim: LeadershipClaim
     ) -> TermEndVotes:
-        """Tell every node to stop; return how many have."""
+        """Tell every node to stop using the primary; return which have."""
         term = claim.record.term - 1
         await self._runtime.leadership_state.end_term(
-            term, 'this node changes it'
+            term, 'this node changes the primary'
         )
         question = EndTerm(
             self._runtime.name,
             term,
             report.is_planned,
-            claim.fence,
+            claim.fencing_token,
         )
-        own = await curio.spawn(
+        own_task = await curio.spawn(
             self._runtime.close_term,
             term,
             report.is_planned,
-            claim.fence,
+            claim.fencing_token,
             daemon=True,
         )
-        answers = await self._tools.peers.ask_all(question, END_TERM_TIMEOUT_S)
-        await own.join()
-        silent = [
+        answers = await self._context.peers.ask_all(
+            question, END_TERM_TIMEOUT_S
+        )
+        await own_task.join()
+        unresponsive = [
             name
             for name, answer in answers.items()
             if not isinstance(answer, TermEnded | ConnectionRefusedError)
         ]
-        if silent:
-            self._log_silent(silent, term)
-        # This node counts as one that has stopped.
-        stopped = len(answers) - len(silent) + 1
-        registered = self._tools.peers.count_registered()
+        if unresponsive:
+            self._log_unresponsive(unresponsive, term)
+        # Plus one for this node.
+        stopped = len(answers) - len(unresponsive) + 1
+        registered = self._context.peers.count_registered()
         has_majority = stopped * 2 > registered
-        # A node that is gone may run on, cut off: its proof must run out.
-        is_unanimous = not silent and not self._tools.peers.has_gone_members
-        asked = frozenset((self._tools.node, *answers))
+        # A node whose registration lapsed may still run, cut off, with proof.
+        is_unanimous = (
+            not unresponsive and not self._context.peers.has_gone_members
+        )
+        asked = frozenset((self._context.node, *answers))
         return TermEndVotes(has_majority, is_unanimous, asked)
 
-    async def _has_ended_everywhere(self, consent: TermEndVotes) -> bool:
-        """Tell whether no node has proof of the old term any more.
+    async def _has_ended_everywhere(self, votes: TermEndVotes) -> bool:
+        """Return whether no node has proof of the old term any more.
 
-        Called once the replicas hold: a node that registers later finds no
-        proof.  One that has registered unseen may have some.
+        Called once the replicas are fenced, so nodes that register later get
+        no proof.  Nodes that registered without being asked may have some.
         """
-        if not consent.is_unanimous:
+        if not votes.is_unanimous:
             return False
-        view = self._tools.view
+        view = self._context.view
         if not await view.refresh(Kind.MEMBERS):
             return False
-        return view.members.keys() <= consent.asked
+        return view.members.keys() <= votes.asked
 
     async def _catch_up(self, final: Position | None, former: str) -> None:
-        """Wait until a successor has received all that was acknowledged."""
+        """Wait until a successor has received all acknowledged writes."""
         if final is None:
             return
         async with curio.ignore_after(SUCCESSOR_CATCH_UP_TIMEOUT_S):
@@ -295,7 +319,7 @@
                 await curio.sleep(POLL_INTERVAL_S)
 
     async def _has_caught_up(self, final: Position, former: str) -> bool:
-        """Tell whether a server that is to stay has received `final`."""
+        """Return whether a server that is not draining has received `final`."""
         for handle in list(self._runtime.servers.values()):
             if handle.id == former or handle.server.is_draining:
                 continue
@@ -304,24 +328,24 @@
                 return True
         return False
 
-    async def _give_up(
+    async def _abandon(
         self, report: PrimaryChangeReport, claim: LeadershipClaim
     ) -> bool:
-        """Let the old term go on: nobody was told to lead the next one."""
+        """Release the fences and resume the old term; nothing was promoted."""
         for handle in list(self._runtime.servers.values()):
             await handle.execute_command('release_hold')
         if not report.step_down_requested:
-            await self._claims.undo(report, claim)
+            await self._records.revert(report, claim)
         self._log('leadership.change_given_up', report, report.reason)
         return False
 
-    def _log_silent(self, silent: list[str], term: int) -> None:
+    def _log_unresponsive(self, unresponsive: list[str], term: int) -> None:
         self._runtime.journal.record(
             'leadership.nodes_silent',
             service=self._runtime.name,
             term=term,
-            nodes=silent[:MAX_LOGGED_NODES],
-            count=len(silent),
+            nodes=unresponsive[:MAX_LOGGED_NODES],
+            count=len(unresponsive),
         )
 
     def _log(
--- a/deckdrum/leadership/promotion_client.py
+++ b/deckdrum/leadership/promotion_client.py
@@ -1,4 +1,4 @@
-"""The border to the platform's call that promotes a server."""
+"""Interface of the platform call that promotes a server."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -6,32 +6,32 @@
 
 
 class PromotionOutcome(StrEnum):
-    """What the platform said to a promotion."""
+    """Result of a promotion request."""
 
     ACCEPTED = 'accepted'
-    #: The server does not run, or a later holder was there.
+    #: The server is not running, or the platform has seen a later token.
     REFUSED = 'refused'
-    #: Nothing was done; the call may be repeated.
+    #: The platform did nothing; the request may be retried.
     NOT_ATTEMPTED = 'turned away'
-    #: No answer came: it may have been done.
+    #: No answer: the promotion may have been carried out.
     UNKNOWN = 'unknown'
 
 
 @dataclass(frozen=True, slots=True)
 class PromotionRequest:
-    """One promotion.
+    """A request to promote one server.
 
     Attributes
     ----------
     service : str
         The database group.
     server : str
-        Id of the server that shall lead.
+        Id of the server to promote.
     holder : str
-        The node that gives the order.
+        Name of the requesting node.
     fence : int
-        Revision of the claim; the platform refuses a lower one than it has
-        seen.
+        Fencing token of the claim; the platform refuses tokens lower than the
+        highest that it has seen.
     """
 
     service: str
@@ -41,16 +41,16 @@
 
 
 class PromotionClient(ABC):
-    """Gives promotions to the platform."""
+    """Sends promotion requests to the platform."""
 
     @abstractmethod
     async def promote(
         self,
-        order: PromotionRequest,
-        limit: float,
+        request: PromotionRequest,
+        timeout: float,
     ) -> PromotionOutcome:
-        """Give an order and wait up to `limit` seconds for the answer.
+        """Request a promotion and wait up to `timeout` seconds for the result.
 
-        After `limit` the connection is reset, so that bytes still on their
-        way are dropped and the order cannot arrive later.
+        On a timeout the connection is reset, so that the request cannot
+        reach the platform later.
         """
--- a/deckdrum/leadership/supervision.py
+++ b/deckdrum/leadership/supervision.py
@@ -1,7 +1,8 @@
-"""Noticing that a group needs another primary, and whose task that is.
+"""Monitoring a group's primary and deciding when to replace it.
 
-Every node watches what its own traffic shows.  A node that finds the primary
-lost asks the other nodes before it acts; ranks by name make one act first.
+Every node monitors the primary through its own traffic.  A node that finds the
+primary unresponsive asks other nodes whether they reach it, and starts a change
+only if none does.  Nodes act in a ranked order, so that usually one acts alone.
 """
 
 from collections.abc import Container
@@ -26,175 +27,174 @@
 from deckdrum.store.records import GroupRecord, Phase
 from deckdrum.utils.ranks import weigh
 
-#: Pause between two looks without trouble, in seconds.
-LOOK_PAUSE: Final = 0.1
-#: Longest wait for the answer to the question after a silence, in seconds.
-#: A loaded server answers late; both together must be longer than its queue.
+#: Interval between checks while the primary is healthy.
+CHECK_INTERVAL_S: Final = 0.1
+#: Longest wait for a status request after a failure.  An overloaded server
+#: answers late, so this must exceed the time its queue takes.
 STATUS_PROBE_TIMEOUT_S: Final = 0.3
-#: Longest wait for a connection that tells a cut link from a loaded server, in
-#: seconds; several round trips.
+#: Longest wait for a connection, to tell a cut link from an overloaded server;
+#: several round trips.
 CONNECT_PROBE_TIMEOUT_S: Final = 0.2
-#: Nodes that ask every other one at the first sign of a loss; the others ask
-#: a few, so that the questions do not grow with the square of the nodes.
+#: Number of nodes, by rank, that ask all others at the first sign of a loss.
+#: The rest ask a sample, to avoid a quadratic number of messages.
 FULL_PROBE_RANKS: Final = 2
-#: Users of a group up to which each asks all the others: fifteen are three for
-#: each of five data centres.
-MOST_ASKED: Final = 24
-#: Pause of a node before it acts, by its rank, in seconds: longer than the
-#: first node needs to ask its peers and claim the change.
+#: Number of peers up to which every node asks all of them.
+MAX_FULL_PROBE_PEERS: Final = 24
+#: Delay per rank before a node acts; longer than the first node needs to ask
+#: its peers and claim the change.
 RANK_DELAY_S: Final = 0.25
-#: The same for a change that is no emergency.
+#: Delay per rank before a planned change.
 PLANNED_RANK_DELAY_S: Final = 0.8
-#: Nodes asked for a detour at a time.
+#: Number of peers that the rest ask.
 PROBE_SAMPLE_SIZE: Final = 6
-#: How long a detour is taken before the straight way is tried, in seconds.
+#: Interval at which a direct connection is retried during a detour.
 DETOUR_RETRY_INTERVAL_S: Final = 1.0
-#: Pause after a change that failed or that the peers refused, in seconds.
+#: Delay after a change that failed or that peers vetoed.
 RETRY_DELAY_S: Final = 0.4
-#: Pause between two tries to record who leads, in seconds.
+#: Interval between attempts to store a missing leadership record.
 RECORD_RETRY_INTERVAL_S: Final = 1.0
-#: How long a group may be without a known primary before it is given one.
+#: Time without a known primary after which one is promoted.
 NO_PRIMARY_TIMEOUT_S: Final = 1.0
-#: How long a node has been registered before it changes a primary, in s.  A
-#: node that has just started does not know the others yet and would act alone.
+#: Time after registration before a node may change a primary.  A node that has
+#: just started does not know its peers yet and would act alone.
 MEMBERSHIP_SETTLE_TIME_S: Final = 1.0
-#: How long after a change the servers are looked after, in seconds.
+#: How long after a change servers are made to follow the new term.
 RECONCILE_DURATION_S: Final = 6.0
 RECONCILE_INTERVAL_S: Final = 0.5
 
 
 class Supervisor:
-    """Watches one group's primary.
+    """Monitors the primary of one group and replaces it when it is lost.
 
     Parameters
     ----------
     runtime : ServiceRuntime
         The group.
-    tools : ChangeTools
-        What the node provides.
+    context : LeadershipContext
+        Services of the node.
     """
 
     def __init__(
-        self, runtime: ServiceRuntime, tools: LeadershipContext
+        self, runtime: ServiceRuntime, context: LeadershipContext
     ) -> None:
         self._runtime = runtime
-        self._tools = tools
-        self._promotion = PrimaryChanger(runtime, tools)
-        self._claims = LeadershipRecordStore(runtime, tools)
-        self._record_after = float('-inf')
-        self._without_since: float | None = None
-        self._claim_seen: tuple[str, float] = ('', 0)
-        self._mend_until = float('-inf')
-        self._troubled: ServerHandle | None = None
+        self._context = context
+        self._primary_changer = PrimaryChanger(runtime, context)
+        self._records = LeadershipRecordStore(runtime, context)
+        self._next_record_at = float('-inf')
+        self._missing_since: float | None = None
+        self._claim_first_seen: tuple[str, float] = ('', 0)
+        self._reconcile_until = float('-inf')
+        self._failed_server: ServerHandle | None = None
         self._detour_until = float('-inf')
         self._registered_since: float | None = None
-        #: Nodes that did not answer when they were last asked.
-        self._silent_users: frozenset[str] = frozenset()
+        #: Nodes that did not answer the latest probe.
+        self._unresponsive_peers: frozenset[str] = frozenset()
 
     def handle_server_failure(self, handle: ServerHandle) -> None:
-        """Look at a server that has just failed, if it is the primary."""
+        """Schedule a check of a server that failed, if it is the primary."""
         if handle.id == self._runtime.leadership_state.primary:
-            self._troubled = handle
+            self._failed_server = handle
 
     async def run(self) -> None:
-        """Watch for ever."""
+        """Monitor the primary until cancelled."""
         while True:
-            await curio.sleep(await self._look())
+            await curio.sleep(await self._check())
 
-    async def _look(self) -> float:
-        """Look once; return the pause before the next look."""
+    async def _check(self) -> float:
+        """Run one check; return the delay before the next one."""
         is_idle = self._runtime.is_changing_primary or not self._runtime.servers
-        if is_idle or not await self._is_settled():
-            return LOOK_PAUSE
+        if is_idle or not await self._is_registered_long_enough():
+            return CHECK_INTERVAL_S
         record = self._runtime.leadership_state.record
         if record is not None and record.phase is Phase.FENCING:
-            return await self._look_at_claim(record)
+            return await self._check_claim(record)
         if not self._runtime.holding.is_holder:
-            # Those who use the servers see what becomes of them.
-            self._without_since = None
-            return LOOK_PAUSE
+            # Only holders of connections observe the servers.
+            self._missing_since = None
+            return CHECK_INTERVAL_S
         primary = self._runtime.primary
         if primary is None:
-            return await self._look_without()
-        self._without_since = None
+            return await self._check_missing_primary()
+        self._missing_since = None
         if record is None:
-            await self._record_first()
+            await self._create_initial_record()
         if primary.server.is_draining:
-            return await self._replace_leaving(primary)
-        if self._troubled is primary:
-            self._troubled = None
-            return await self._look_at_trouble(primary)
-        if primary.id in self._tools.dialer.detours:
-            return await self._look_at_detour(primary)
-        return await self._mend_lately()
+            return await self._replace_draining(primary)
+        if self._failed_server is primary:
+            self._failed_server = None
+            return await self._check_failed_primary(primary)
+        if primary.id in self._context.dialer.detours:
+            return await self._check_detour(primary)
+        return await self._reconcile_after_change()
 
-    async def _mend_lately(self) -> float:
-        """Look after the servers for a while after a change."""
-        if await curio.clock() >= self._mend_until:
-            return LOOK_PAUSE
-        await self._promotion.mend()
+    async def _reconcile_after_change(self) -> float:
+        """Make servers follow the new term for a while after a change."""
+        if await curio.clock() >= self._reconcile_until:
+            return CHECK_INTERVAL_S
+        await self._primary_changer.reconcile_servers()
         return RECONCILE_INTERVAL_S
 
-    async def _is_settled(self) -> bool:
-        """Tell whether this node has had time to learn of the others."""
+    async def _is_registered_long_enough(self) -> bool:
+        """Return whether this node has been registered long enough to act."""
         now: float = await curio.clock()
-        if self._tools.view.get_member(self._tools.node) is None:
+        if self._context.view.get_member(self._context.node) is None:
             self._registered_since = None
             return False
         if self._registered_since is None:
             self._registered_since = now
         return now - self._registered_since >= MEMBERSHIP_SETTLE_TIME_S
 
-    async def _record_first(self) -> None:
-        """Record who leads, if the store is known to have no record."""
+    async def _create_initial_record(self) -> None:
+        """Store the current primary if the store has no record of the group."""
         now = await curio.clock()
-        is_listed = Kind.LEADERSHIP in self._tools.view.listed_at
-        if not is_listed or now < self._record_after:
+        is_listed = Kind.LEADERSHIP in self._context.view.listed_at
+        if not is_listed or now < self._next_record_at:
             return
-        self._record_after = now + RECORD_RETRY_INTERVAL_S
+        self._next_record_at = now + RECORD_RETRY_INTERVAL_S
         if self._rank() == 0:
-            # Beside the looks: the store may be away.
-            await curio.spawn(self._claims.create_initial, daemon=True)
+            # In the background, since the store may be unavailable.
+            await curio.spawn(self._records.create_initial, daemon=True)
 
-    async def _look_at_claim(self, record: GroupRecord) -> float:
-        """Finish a change whose driver has not, or take it over."""
+    async def _check_claim(self, record: GroupRecord) -> float:
+        """Settle or take over a change that its driver did not finish."""
         now = await curio.clock()
-        if self._claim_seen[0] != record.operation:
-            self._claim_seen = (record.operation, now)
-        wait = CLAIM_TAKEOVER_DELAY_S + self._rank() * RANK_DELAY_S
-        if record.driver == self._tools.node:
-            wait = 0
-        if now - self._claim_seen[1] < wait:
-            return LOOK_PAUSE
+        if self._claim_first_seen[0] != record.operation:
+            self._claim_first_seen = (record.operation, now)
+        delay = CLAIM_TAKEOVER_DELAY_S + self._rank() * RANK_DELAY_S
+        if record.driver == self._context.node:
+            delay = 0
+        if now - self._claim_first_seen[1] < delay:
+            return CHECK_INTERVAL_S
         await self._runtime.discover_primary()
-        if self._claims.is_completed(record):
-            await self._claims.settle_completed(record)
+        if self._records.is_completed(record):
+            await self._records.settle_completed(record)
             return RETRY_DELAY_S
         return await self._change(
             record.former,
-            'a change was left undone',
+            'its driver did not finish the change',
             is_takeover=True,
         )
 
-    async def _look_without(self) -> float:
-        """Look for a primary; have one made if there is none for long."""
+    async def _check_missing_primary(self) -> float:
+        """Search for a primary; promote one if none is found in time."""
         now = await curio.clock()
-        if self._without_since is None:
-            self._without_since = now
+        if self._missing_since is None:
+            self._missing_since = now
         await self._runtime.discover_primary()
         if self._runtime.primary is not None:
-            return LOOK_PAUSE
-        wait = NO_PRIMARY_TIMEOUT_S + self._rank() * RANK_DELAY_S
-        if now - self._without_since < wait:
-            return LOOK_PAUSE
+            return CHECK_INTERVAL_S
+        delay = NO_PRIMARY_TIMEOUT_S + self._rank() * RANK_DELAY_S
+        if now - self._missing_since < delay:
+            return CHECK_INTERVAL_S
         record = self._runtime.leadership_state.record
         recorded = '' if record is None else record.primary
         former = self._runtime.leadership_state.primary or recorded
-        if await self._is_led_elsewhere(former):
+        if await self._is_reached_elsewhere(former):
             return RETRY_DELAY_S
-        return await self._change(former, 'no server says that it leads')
+        return await self._change(former, 'no server reports the primary role')
 
-    async def _replace_leaving(self, primary: ServerHandle) -> float:
+    async def _replace_draining(self, primary: ServerHandle) -> float:
         if not any(
             not handle.server.is_draining for handle in self._runtime.replicas
         ):
@@ -205,67 +205,67 @@
             if self._runtime.primary is not primary:
                 return 0
         status = await self._runtime.ask(primary)
-        # Once it may end at any moment, nothing is worth waiting for.
+        # A primary that may stop at any moment cannot hand over.
         has_time = not primary.departure.may_terminate(await curio.clock())
         is_planned = status is not None and has_time
-        reason = 'the primary is to leave'
+        reason = 'the primary is draining'
         return await self._change(primary.id, reason, is_planned=is_planned)
 
-    async def _look_at_trouble(self, primary: ServerHandle) -> float:
-        """Make sure that the primary is lost, and have it replaced."""
-        if await self._answers(primary):
-            return LOOK_PAUSE
-        users = len(self._list_users())
-        is_first = self._rank() < FULL_PROBE_RANKS
-        everybody = is_first or users <= MOST_ASKED
-        if await self._is_reached(primary, everybody=everybody):
-            return LOOK_PAUSE
-        # Who did not answer does not act before this node either.
-        rank = self._rank(self._silent_users)
+    async def _check_failed_primary(self, primary: ServerHandle) -> float:
+        """Replace the primary if neither this node nor a peer reaches it."""
+        if await self._is_responsive(primary):
+            return CHECK_INTERVAL_S
+        peer_count = len(self._list_peers())
+        is_full_probe_rank = self._rank() < FULL_PROBE_RANKS
+        ask_all = is_full_probe_rank or peer_count <= MAX_FULL_PROBE_PEERS
+        if await self._is_reached_by_peers(primary, ask_all=ask_all):
+            return CHECK_INTERVAL_S
+        # Unresponsive nodes are not waited for.
+        rank = self._rank(self._unresponsive_peers)
         if rank:
             await curio.sleep(rank * RANK_DELAY_S)
             if self._runtime.primary is not primary:
                 return 0
-            if await self._answers(primary):
-                return LOOK_PAUSE
-            if await self._is_reached(primary, everybody=True):
-                return LOOK_PAUSE
+            if await self._is_responsive(primary):
+                return CHECK_INTERVAL_S
+            if await self._is_reached_by_peers(primary, ask_all=True):
+                return CHECK_INTERVAL_S
         return await self._change(primary.id, 'the primary does not answer')
 
-    async def _answers(self, primary: ServerHandle) -> bool:
-        """Tell whether a server answers this node anything at all."""
+    async def _is_responsive(self, primary: ServerHandle) -> bool:
+        """Return whether a server answers this node at all."""
         asked_at = await curio.clock()
         status = await primary.query_status(STATUS_PROBE_TIMEOUT_S)
         return status is not None or primary.has_answered(asked_at)
 
-    async def _is_reached(
+    async def _is_reached_by_peers(
         self,
         primary: ServerHandle,
         *,
-        everybody: bool,
+        ask_all: bool,
     ) -> bool:
-        """Tell whether other nodes reach a primary; it is not changed then.
+        """Return whether any other node reaches the primary.
 
-        If this node alone is cut off from it, a detour is taken.
+        If this node has no direct path to it, a detour is set up.
         """
-        self._tools.dialer.detours.pop(primary.id, None)
+        self._context.dialer.detours.pop(primary.id, None)
         question = AskServer(self._runtime.name, primary.id)
-        peers = self._tools.peers
-        asked = self._list_users()
-        if not everybody:
+        peers = self._context.peers
+        asked = self._list_peers()
+        if not ask_all:
             count = min(PROBE_SAMPLE_SIZE, len(asked))
-            asked = self._tools.randomness.sample(asked, count)
-        # Meanwhile, so that a detour is not found too late for what waits.
+            asked = self._context.randomness.sample(asked, count)
+        # Concurrently with the path check, so that a detour is found sooner.
         asking = await curio.spawn(peers.ask_each, asked, question)
         has_path = await self._has_path(primary)
         primary.is_dark = not has_path
         answers = await asking.join()
-        self._silent_users = frozenset(
+        self._unresponsive_peers = frozenset(
             name
             for name, answer in answers.items()
             if not isinstance(answer, ServerAnswer)
         )
-        members = self._tools.view.members
+        members = self._context.view.members
         reaching = [
             members[name]
             for name, answer in answers.items()
@@ -276,7 +276,7 @@
         if not reaching:
             return False
         if has_path:
-            # It is loaded: another way would only load it more.
+            # The primary is overloaded; a detour would only add load.
             self._runtime.journal.record_often(
                 'primary.slow',
                 service=self._runtime.name,
@@ -284,15 +284,15 @@
                 reached_by=reaching[0].name,
             )
             return True
-        if Policy.DETOURS in self._tools.policies:
-            member = self._tools.randomness.choice(reaching)
-            await self._take_detour(primary, member)
+        if Policy.DETOURS in self._context.policies:
+            member = self._context.randomness.choice(reaching)
+            await self._start_detour(primary, member)
         return True
 
     async def _has_path(self, primary: ServerHandle) -> bool:
-        """Tell whether a server's machine takes connections of this node."""
+        """Return whether this node can connect to a server directly."""
         try:
-            stream = await self._tools.dialer.dial_direct(
+            stream = await self._context.dialer.dial_direct(
                 primary.server.address,
                 CONNECT_PROBE_TIMEOUT_S,
             )
@@ -301,16 +301,16 @@
         await stream.close()
         return True
 
-    async def _take_detour(
+    async def _start_detour(
         self,
         primary: ServerHandle,
         member: Member,
     ) -> None:
-        """Reach a primary through a node that is not cut off from it."""
-        self._tools.dialer.detours[primary.id] = member.endpoint
+        """Route connections to a primary through a node that reaches it."""
+        self._context.dialer.detours[primary.id] = member.endpoint
         self._detour_until = await curio.clock() + DETOUR_RETRY_INTERVAL_S
         primary.is_dark = False
-        # The connections of before hang as long as the cut lasts.
+        # Existing connections hang until the link is restored.
         await primary.pool.close_idle()
         self._runtime.journal.record(
             'detour.taken',
@@ -320,28 +320,28 @@
         )
         self._runtime.counters.count('detours_taken')
 
-    async def _look_at_detour(self, primary: ServerHandle) -> float:
-        """Go straight again as soon as the server can be reached."""
+    async def _check_detour(self, primary: ServerHandle) -> float:
+        """End the detour once the server can be reached directly."""
         now = await curio.clock()
         if now < self._detour_until:
-            return LOOK_PAUSE
+            return CHECK_INTERVAL_S
         self._detour_until = now + DETOUR_RETRY_INTERVAL_S
         if not await self._has_path(primary):
-            return LOOK_PAUSE
-        self._tools.dialer.detours.pop(primary.id, None)
+            return CHECK_INTERVAL_S
+        self._context.dialer.detours.pop(primary.id, None)
         await primary.pool.close_idle()
         self._runtime.journal.record(
             'detour.ended',
             service=self._runtime.name,
             server=primary.id,
         )
-        return LOOK_PAUSE
+        return CHECK_INTERVAL_S
 
-    async def _is_led_elsewhere(self, former: str) -> bool:
-        """Tell whether another node reaches a primary."""
+    async def _is_reached_elsewhere(self, former: str) -> bool:
+        """Return whether another node reaches a primary."""
         question = AskServer(self._runtime.name, former)
-        answers = await self._tools.peers.ask_each(
-            self._list_users(),
+        answers = await self._context.peers.ask_each(
+            self._list_peers(),
             question,
         )
         reaching = [
@@ -374,28 +374,28 @@
             is_takeover,
         )
         report.phases['decide'] = await curio.clock()
-        is_done = await self._promotion.drive(report)
+        is_done = await self._primary_changer.run(report)
         self._runtime.counters.count(
             'changes_done' if is_done else 'changes_failed'
         )
         if not is_done:
             return RETRY_DELAY_S
-        self._mend_until = await curio.clock() + RECONCILE_DURATION_S
-        return LOOK_PAUSE
+        self._reconcile_until = await curio.clock() + RECONCILE_DURATION_S
+        return CHECK_INTERVAL_S
 
-    def _list_users(self) -> list[Member]:
-        """Return the other nodes that use the group's servers themselves."""
-        return self._runtime.holding.others or self._tools.peers.others
+    def _list_peers(self) -> list[Member]:
+        """Return the other nodes that connect to the group's servers."""
+        return self._runtime.holding.others or self._context.peers.others
 
-    def _rank(self, silent: Container[str] = ()) -> int:
-        """Return how many nodes act before this one, but for silent ones."""
+    def _rank(self, unresponsive: Container[str] = ()) -> int:
+        """Return how many nodes other than unresponsive ones act earlier."""
         record = self._runtime.leadership_state.record
         names = {
             member.name
-            for member in self._list_users()
-            if member.name not in silent
+            for member in self._list_peers()
+            if member.name not in unresponsive
         }
-        names.add(self._tools.node)
+        names.add(self._context.node)
         preferred = '' if record is None else record.driver
         ranked = sorted(
             names,
@@ -404,4 +404,4 @@
                 weigh(self._runtime.name, name),
             ),
         )
-        return ranked.index(self._tools.node)
+        return ranked.index(self._context.node)
--- a/deckdrum/leadership/tests/test_changes.py
+++ b/deckdrum/leadership/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""Changes of primary through whole nodes, in virtual time."""
+"""Primary changes in a deployment of whole nodes, in virtual time."""
 
 from functools import partial
 
@@ -18,9 +18,8 @@
     play,
 )
 
-#: Longest gap between two acknowledged writes, in seconds; the mark that the
-#: users set for the 99th percentile is 4 s.
-GAP_LIMIT = 2.5
+#: Longest allowed gap between two acknowledged writes.
+MAX_WRITE_GAP_S = 2.5
 
 
 def _is_settled(deployment: Deployment) -> bool:
@@ -35,7 +34,7 @@
         await curio.sleep(0.1)
         old = deployment.group.primary
         await old.crash()
-        assert await client.write_until_done() < GAP_LIMIT
+        assert await client.write_until_done() < MAX_WRITE_GAP_S
         await curio.sleep(2)
         assert len(deployment.group.promotions) == 1
         new = [
@@ -48,19 +47,19 @@
     play(scenario)
 
 
-def test_dark_primary_is_replaced() -> None:
+def test_unreachable_primary_is_replaced() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         await curio.sleep(0.1)
         deployment.group.primary.is_dark = True
-        assert await client.write_until_done() < GAP_LIMIT + 1
+        assert await client.write_until_done() < MAX_WRITE_GAP_S + 1
         assert len(deployment.group.promotions) == 1
 
     play(scenario)
 
 
-def test_leaving_primary_hands_over_without_losing_a_change() -> None:
+def test_draining_primary_hands_over_without_losing_a_write() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         old = deployment.group.primary
@@ -78,7 +77,7 @@
     play(scenario)
 
 
-def test_furthest_replica_leads() -> None:
+def test_most_advanced_replica_is_promoted() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         old = deployment.group.primary
@@ -98,7 +97,7 @@
 
 
 @pytest.mark.parametrize('synchronous', [1])
-def test_synchronous_group_keeps_every_acknowledged_change(
+def test_synchronous_group_keeps_every_acknowledged_write(
     synchronous: int,
 ) -> None:
     async def scenario(deployment: Deployment) -> None:
@@ -113,13 +112,13 @@
     play(scenario, synchronous=synchronous, lag=0.01)
 
 
-def test_promotion_whose_answer_is_lost_is_resolved() -> None:
+def test_promotion_with_a_lost_answer_is_resolved() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         deployment.group.lost_promotions = 1
         await deployment.group.primary.crash()
-        assert await client.write_until_done() < GAP_LIMIT + 1
+        assert await client.write_until_done() < MAX_WRITE_GAP_S + 1
         fences = [fence for _, _, fence in deployment.group.promotions]
         assert fences == sorted(fences)
 
@@ -152,18 +151,18 @@
         await curio.sleep(3)
         assert not deployment.group.promotions
         deployment.store.fault = StoreFault.NONE
-        assert await client.write_until_done() < GAP_LIMIT + 2
+        assert await client.write_until_done() < MAX_WRITE_GAP_S + 2
 
     play(scenario)
 
 
-def test_claim_whose_answer_is_lost_is_read_back() -> None:
+def test_claim_with_a_lost_answer_is_read_back() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         deployment.store.fault = StoreFault.ANSWERS_LOST
         await deployment.group.primary.crash()
-        assert await client.write_until_done() < GAP_LIMIT + 2
+        assert await client.write_until_done() < MAX_WRITE_GAP_S + 2
         holders = {holder for _, holder, _ in deployment.group.promotions}
         assert len(holders) == 1
 
@@ -192,7 +191,7 @@
         refused = await client.ask('WRITE a 2')
         assert not refused.is_done
         assert await client.write_until_done(12) < 9
-        # The new primary takes changes before the record is settled.
+        # The new primary accepts writes before the record is settled.
         took = await deployment.wait_for(partial(_is_settled, deployment))
         assert took < 0.5
 
@@ -201,7 +200,7 @@
 
 def test_old_primary_is_not_read_after_a_change() -> None:
     async def scenario(deployment: Deployment) -> None:
-        """A node that is cut off with the old primary stops in time."""
+        """A node cut off together with the old primary stops using it."""
         group = deployment.group
         cut_off = await deployment.connect(CURRENT, node=2)
         await cut_off.ask('WRITE a 1')
@@ -234,7 +233,7 @@
         await client.ask('WRITE a 1')
         primary = deployment.group.primary
         await deployment.cut_off(0, primary.name)
-        assert await client.write_until_done() < GAP_LIMIT
+        assert await client.write_until_done() < MAX_WRITE_GAP_S
         for number in range(20):
             assert (await client.ask(f'WRITE a {number}')).is_done
         assert deployment.group.primary is primary
@@ -247,7 +246,7 @@
     play(scenario)
 
 
-def test_own_change_survives_in_the_reads_after_a_change() -> None:
+def test_session_reads_its_own_write_after_a_primary_change() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(OWN)
         await client.ask('WRITE a 1')
@@ -275,13 +274,13 @@
             report = PrimaryChangeReport(
                 SERVICE, old.name, 'late', is_planned=False
             )
-            assert not await late.drive(report)
+            assert not await late.run(report)
         assert deployment.group.promotions == before
 
     play(scenario)
 
 
-def test_fresh_claim_is_not_overtaken() -> None:
+def test_recent_claim_is_not_taken_over() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
@@ -292,7 +291,7 @@
                 runtime = running.node.services[SERVICE]
                 change = PrimaryChanger(runtime, running.node.tools)
                 report = PrimaryChangeReport(SERVICE, old.name, 'race', False)
-                await driving.spawn(change.drive, report)
+                await driving.spawn(change.run, report)
                 await curio.sleep(0.05)
         await curio.sleep(3)
         assert len(deployment.group.promotions) == 1
@@ -300,19 +299,19 @@
     play(scenario)
 
 
-def test_replicas_receive_again_at_once_after_a_change() -> None:
+def test_replicas_are_released_after_a_change() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         old = deployment.group.primary
         old.is_dark = True
         await client.write_until_done()
-        held = [
+        fenced = [
             server
             for server in deployment.group.servers.values()
             if server.held_term
         ]
-        if held:
+        if fenced:
             await curio.sleep(0.15)
         assert not any(
             server.held_term for server in deployment.group.servers.values()
@@ -321,9 +320,9 @@
     play(scenario)
 
 
-def test_primary_that_left_while_the_store_was_away_is_replaced() -> None:
+def test_primary_removed_during_a_store_outage_is_replaced() -> None:
     async def scenario(deployment: Deployment) -> None:
-        """The record still names the one that has left."""
+        """The leadership record still names the removed server."""
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         await deployment.group.primary.crash()
@@ -340,7 +339,7 @@
     play(scenario)
 
 
-def test_change_waits_for_a_node_that_registered_unseen() -> None:
+def test_change_waits_for_a_node_that_was_not_asked() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
@@ -348,7 +347,7 @@
         newcomer = member | {'name': 'n9', 'peer_address': '127.0.0.1:1'}
 
         async def register(kind: Kind) -> None:
-            # It may have proof from before the replicas hold.
+            # It may have proof from before the replicas were fenced.
             if kind is Kind.LEADERSHIP:
                 await deployment.store.write('deckdrum-members', 'n9', newcomer)
 
--- a/deckdrum/leadership/tests/test_first_records.py
+++ b/deckdrum/leadership/tests/test_first_records.py
@@ -1,4 +1,4 @@
-"""The record of a leader before any change, and what it is worth at a start."""
+"""The initial leadership record, and its use by nodes that start later."""
 
 import curio
 
@@ -10,7 +10,7 @@
 )
 
 
-def test_leader_is_recorded_before_any_change() -> None:
+def test_primary_is_recorded_before_any_change() -> None:
     async def scenario(deployment: Deployment) -> None:
         await curio.sleep(1)
         record = deployment.store.read('deckdrum-leadership', SERVICE)
@@ -21,22 +21,22 @@
     play(scenario)
 
 
-async def _start_again(deployment: Deployment) -> RunningNode:
-    """Let the last node lose power, and start it at another address."""
-    lost = deployment.nodes.pop()
-    for task in lost.node._tasks:
+async def _restart_last_node(deployment: Deployment) -> RunningNode:
+    """Kill the last node and start it at another address."""
+    killed = deployment.nodes.pop()
+    for task in killed.node._tasks:
         await task.cancel(blocking=False)
-    await lost.node.peers.close()
-    await lost.frontend.close()
+    await killed.node.peers.close()
+    await killed.frontend.close()
     started = await deployment.start_node(len(deployment.nodes))
     deployment.nodes.append(started)
     return started
 
 
-def test_node_that_starts_again_asks_no_server_who_leads() -> None:
+def test_restarted_node_needs_no_status_request() -> None:
     async def scenario(deployment: Deployment) -> None:
         await curio.sleep(1)
-        started = await _start_again(deployment)
+        started = await _restart_last_node(deployment)
         services = started.node.services
         seconds = await deployment.wait_for(
             lambda: (
@@ -45,14 +45,14 @@
             ),
         )
         assert seconds < 0.1
-        leadership_state = services[SERVICE].leadership_state
-        assert leadership_state.is_primary_usable(await curio.clock())
+        state = services[SERVICE].leadership_state
+        assert state.is_primary_usable(await curio.clock())
         assert not started.node.counters.events['status_questions']
 
     play(scenario)
 
 
-def test_list_is_no_proof_to_a_node_that_was_not_registered() -> None:
+def test_record_is_no_proof_for_a_node_that_was_not_registered() -> None:
     async def scenario(deployment: Deployment) -> None:
         await curio.sleep(1)
         started = await deployment.start_node(3)
--- a/deckdrum/leadership/tests/test_proof.py
+++ b/deckdrum/leadership/tests/test_proof.py
@@ -1,4 +1,4 @@
-"""Proof is handed on among nodes, and what takes it away again."""
+"""Leadership proof: passing it between nodes, and its expiry."""
 
 from random import Random
 
@@ -19,15 +19,15 @@
     return sum(ran.server == server for ran in deployment.group.ran)
 
 
-async def _stay_silent(_: object) -> None:
+async def _never_answer(_: object) -> None:
     await curio.sleep(60)
 
 
 def test_without_replicas_and_store_nothing_is_acknowledged() -> None:
-    """Nodes that reach only the primary may be the ones that are cut off.
+    """Nodes that reach only the primary may be cut off from a primary change.
 
-    A change that they cannot see needs nothing of them; so they stop in time,
-    say that nothing was run, and go on when either is back.
+    They must reject statements as not run, and resume once the replicas or
+    the store can be reached.
     """
 
     async def scenario(deployment: Deployment) -> None:
@@ -41,7 +41,7 @@
         for server in replicas:
             server.is_dark = True
         deployment.store.fault = StoreFault.SILENT
-        # All proof of before has run out.
+        # All earlier proof has expired.
         await curio.sleep(2 * PROOF_LIFETIME_S)
         before = len(deployment.group.primary.log)
         for _ in range(3):
@@ -56,12 +56,12 @@
     play(scenario)
 
 
-def test_one_node_that_reaches_the_replicas_is_enough_for_a_change() -> None:
-    """Both other nodes are out of its reach, and their proof runs out first."""
+def test_one_node_that_reaches_the_replicas_can_change_the_primary() -> None:
+    """The other two nodes do not answer; their proof must expire first."""
 
     async def scenario(deployment: Deployment) -> None:
         for number in (1, 2):
-            deployment.nodes[number].node.peers.answer = _stay_silent
+            deployment.nodes[number].node.peers.answer = _never_answer
         old = deployment.group.primary
         client = await deployment.connect(CURRENT, node=1)
         assert (await client.ask('WRITE a 1')).is_done
@@ -71,7 +71,7 @@
             SERVICE, old.name, 'lost', is_planned=False
         )
         began = await curio.clock()
-        driving = await curio.spawn(change.drive, report)
+        driving = await curio.spawn(change.run, report)
         while not deployment.group.promotions and not driving.terminated:
             await client.ask('WRITE a 1')
             await curio.sleep(0.01)
@@ -84,13 +84,13 @@
         )
         assert len(deployment.group.promotions) == 1
         assert await client.write_until_done() < 1.0
-        # The old primary runs on, and nobody asks it any more.
+        # The old primary still runs, but no node uses it.
         assert _count_run(deployment, old.name) == before
 
     play(scenario)
 
 
-def test_nobodys_term_ends_for_a_change_that_cannot_win() -> None:
+def test_hopeless_change_ends_no_term() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
@@ -98,13 +98,13 @@
         for server in deployment.group.servers.values():
             server.is_dark = server is not primary
         for number in (1, 2):
-            deployment.nodes[number].node.peers.answer = _stay_silent
+            deployment.nodes[number].node.peers.answer = _never_answer
         node = deployment.nodes[0].node
         change = PrimaryChanger(node.services[SERVICE], node.tools)
         report = PrimaryChangeReport(
             SERVICE, primary.name, 'lost', is_planned=False
         )
-        assert not await change.drive(report)
+        assert not await change.run(report)
         for running in deployment.nodes:
             assert (
                 running.node.services[SERVICE].leadership_state.ended_term == 0
@@ -114,12 +114,12 @@
     play(scenario)
 
 
-def test_replica_that_restarts_meanwhile_stops_the_change() -> None:
-    """It holds no more, so a node may have got proof of it."""
+def test_replica_restart_during_a_change_aborts_it() -> None:
+    """A restart removes the fence, so a node may have got proof again."""
 
     async def scenario(deployment: Deployment) -> None:
         for number in (1, 2):
-            deployment.nodes[number].node.peers.answer = _stay_silent
+            deployment.nodes[number].node.peers.answer = _never_answer
         old = deployment.group.primary
         replica = next(
             server
@@ -131,7 +131,7 @@
         report = PrimaryChangeReport(
             SERVICE, old.name, 'lost', is_planned=False
         )
-        driving = await curio.spawn(change.drive, report)
+        driving = await curio.spawn(change.run, report)
         await curio.sleep(PROOF_LIFETIME_S / 2)
         assert replica.held_term
         await replica.crash()
@@ -142,52 +142,52 @@
     play(scenario)
 
 
-async def _outlives(seed: int, missing: int) -> bool:
-    """Tell whether a node may use the old primary when the next is promoted.
+async def _outlives_promotion(seed: int, missing: int) -> bool:
+    """Return whether a node may use the old primary after a promotion.
 
-    The node hears of a change only by its questions, each at a random time: a
-    replica shows that it holds, and the store that the record is claimed.
-    `missing` holds are left out of those that are needed.
+    The node asks replicas and the store at random times, and learns of the
+    change only from their answers.  `missing` is how many replicas too few
+    are fenced.
     """
     randomness = Random(seed)
     names = ['a', 'b', 'c', 'd', 'e'][: randomness.choice((3, 5))]
-    leadership_state = LeadershipState(SERVICE, silent_journal('n1'))
-    await leadership_state.adopt_servers(names)
+    state = LeadershipState(SERVICE, silent_journal('n1'))
+    await state.adopt_servers(names)
     leads = ServerStatus(ServerRole.PRIMARY, 1, Position(1, 1), 0)
-    await leadership_state.record_status('a', leads, 0)
+    await state.record_status('a', leads, 0)
     claimed_at = randomness.uniform(0, 1)
-    held_at = {
+    fenced_at = {
         name: claimed_at + randomness.uniform(0.01, 0.5)
         for name in randomness.sample(
-            names[1:], leadership_state.required_fenced_replicas - missing
+            names[1:], state.required_fenced_replicas - missing
         )
     }
-    promoted_at = max(held_at.values()) + PROOF_LIFETIME_S
+    promoted_at = max(fenced_at.values()) + PROOF_LIFETIME_S
     for _ in range(200):
         asked_at = randomness.uniform(0, promoted_at)
         for name in names[1:]:
-            is_held = asked_at >= held_at.get(name, promoted_at)
-            held_term = 2 if is_held else 0
+            is_fenced = asked_at >= fenced_at.get(name, promoted_at)
+            held_term = 2 if is_fenced else 0
             status = ServerStatus(
                 ServerRole.REPLICA, 1, Position(1, 1), held_term
             )
-            await leadership_state.record_status(name, status, asked_at)
+            await state.record_status(name, status, asked_at)
         if asked_at < claimed_at:
-            await leadership_state.record_store_answer(0, None, asked_at)
-    return leadership_state.is_primary_usable(promoted_at)
+            await state.record_store_answer(0, None, asked_at)
+    return state.is_primary_usable(promoted_at)
 
 
 @pytest.mark.parametrize('seed', range(40))
-def test_no_proof_outlives_the_wait_of_a_change(seed: int) -> None:
-    assert not curio.run(_outlives, seed, 0)
+def test_no_proof_outlives_the_wait_before_a_promotion(seed: int) -> None:
+    assert not curio.run(_outlives_promotion, seed, 0)
 
 
-def test_proof_outlives_the_wait_where_one_hold_is_missing() -> None:
-    """The check above can fail."""
-    assert any(curio.run(_outlives, seed, 1) for seed in range(40))
+def test_proof_outlives_the_wait_if_one_fenced_replica_is_missing() -> None:
+    """Verifies that the check above can fail."""
+    assert any(curio.run(_outlives_promotion, seed, 1) for seed in range(40))
 
 
-def test_one_node_of_a_data_centre_asks_for_proof_for_all() -> None:
+def test_one_node_per_data_centre_requests_proof_for_all() -> None:
     async def scenario(deployment: Deployment) -> None:
         node = deployment.nodes[0].node
         await deployment.wait_for(lambda: len(node.view.members) == 24)
@@ -203,13 +203,13 @@
             await curio.sleep(0.1)
         asked = _count(deployment, 'status_questions') - before
         assert _count(deployment, 'proofs_by_collector') > 0
-        # Alone, each of 24 nodes would ask 1.4 times a second for 3 s and more.
+        # Without sharing, each node would ask more than once per second.
         assert asked < 24 * 3
 
     play(scenario, nodes=24, max_connections=100)
 
 
-def test_handed_proof_ends_with_the_term() -> None:
+def test_shared_proof_ends_with_the_term() -> None:
     async def scenario(deployment: Deployment) -> None:
         runtime = deployment.nodes[0].node.services[SERVICE]
         assert await runtime.renew_proof()
@@ -227,17 +227,17 @@
     )
 
 
-def test_planned_change_without_consent_lets_the_term_go_on() -> None:
+def test_planned_change_without_a_majority_keeps_the_term() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         for number in (1, 2):
-            deployment.nodes[number].node.peers.answer = _stay_silent
+            deployment.nodes[number].node.peers.answer = _never_answer
         primary = deployment.group.primary
         node = deployment.nodes[0].node
         change = PrimaryChanger(node.services[SERVICE], node.tools)
         report = PrimaryChangeReport(SERVICE, primary.name, 'leaving', True)
-        assert not await change.drive(report)
+        assert not await change.run(report)
         assert await client.write_until_done(2) < 1
         assert deployment.group.primary is primary
 
--- a/deckdrum/leadership/tests/test_restarted_servers.py
+++ b/deckdrum/leadership/tests/test_restarted_servers.py
@@ -1,8 +1,8 @@
-"""Servers that start again under their ids, and hold nothing of before.
+"""Servers that restart under the same id with an empty log.
 
-Such a server answers like any other.  Its log is empty and its term is the
-first one, so what a node remembers under its id is false: a primary that comes
-back so must not lead, and a replica must not be made one before it has the log.
+Such a server reports the first term and an empty log, so what nodes know about
+its earlier incarnation is wrong.  It must not become primary before it has the
+complete log.
 """
 
 import curio
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize('role', ROLES)
 @pytest.mark.parametrize('nodes', [3, 9])
-def test_primary_that_starts_again_empty_does_not_lead(
+def test_primary_that_restarts_empty_is_replaced(
     role: str,
     nodes: int,
 ) -> None:
@@ -40,14 +40,14 @@
         assert await client.write_until_done(WORST_GAP) < GAP_AIM
         leader = deployment.group.primary
         assert leader is not old
-        # What the empty log took was not acknowledged, and nothing was lost.
+        # No write to the empty log was acknowledged, and no write was lost.
         assert len(leader.log) == done + 1
 
     play(scenario, nodes=nodes)
 
 
 @pytest.mark.parametrize('role', ROLES)
-def test_nodes_that_start_later_know_of_the_former_life(role: str) -> None:
+def test_nodes_that_start_later_detect_the_restart(role: str) -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
@@ -63,30 +63,30 @@
     play(scenario)
 
 
-def test_replica_that_starts_again_empty_is_not_made_primary() -> None:
+def test_replica_that_restarts_empty_is_not_promoted() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         for _ in range(5):
             await client.ask('WRITE a 1')
         await curio.sleep(0.2)
-        empty, whole = _list_replicas(deployment)
+        empty, complete = _list_replicas(deployment)
         empty.is_deaf = True
         await empty.restart_empty()
-        await whole.crash()
+        await complete.crash()
         await curio.sleep(0.2)
         await deployment.group.primary.crash()
         for _ in range(40):
             assert not (await client.ask('WRITE a 1')).is_done
             await curio.sleep(0.1)
         assert not deployment.group.promotions
-        await whole.start()
+        await complete.start()
         assert await client.write_until_done(WORST_GAP) < WORST_GAP
-        assert deployment.group.promotions[0][0] == whole.name
+        assert deployment.group.promotions[0][0] == complete.name
 
     play(scenario)
 
 
-def test_group_of_which_all_start_again_refuses_and_says_so() -> None:
+def test_group_whose_servers_all_restart_empty_refuses_statements() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
@@ -119,7 +119,7 @@
     play(scenario)
 
 
-def test_connections_of_a_former_life_are_not_used() -> None:
+def test_connections_of_an_earlier_incarnation_are_not_used() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(OWN)
         await client.ask('PREPARE s READ q')
@@ -142,7 +142,7 @@
     play(scenario)
 
 
-def test_new_life_gets_no_more_connections_than_are_dealt() -> None:
+def test_restarted_server_keeps_its_connection_allocation() -> None:
     async def scenario(deployment: Deployment) -> None:
         server = _list_replicas(deployment)[0]
         runtimes = [
--- a/deckdrum/leadership/tests/test_troubles.py
+++ b/deckdrum/leadership/tests/test_troubles.py
@@ -1,4 +1,4 @@
-"""What a node makes of a primary that is slow, loaded, cut off or dark."""
+"""Handling of a primary that is slow, overloaded, cut off or unreachable."""
 
 import curio
 
@@ -13,9 +13,8 @@
 )
 from deckdrum.utils.ranks import weigh
 
-#: Longest time of a write around the loss of a primary whose servers have few
-#: connections, in seconds.
-GAP_LIMIT = 2.5
+#: Longest allowed gap between two acknowledged writes.
+MAX_WRITE_GAP_S = 2.5
 
 
 def test_overloaded_primary_is_not_replaced() -> None:
@@ -34,7 +33,7 @@
     play(scenario)
 
 
-def test_slow_primary_is_neither_replaced_nor_loaded_by_detours() -> None:
+def test_slow_primary_is_neither_replaced_nor_reached_by_detours() -> None:
     async def scenario(deployment: Deployment) -> None:
         writer = await deployment.connect(CURRENT, node=1)
         reader = await deployment.connect(OWN)
@@ -76,7 +75,7 @@
     play(scenario, promote_time=0.6)
 
 
-def test_dark_primary_of_few_connections_is_replaced() -> None:
+def test_unreachable_primary_with_few_connections_is_replaced() -> None:
     async def scenario(deployment: Deployment) -> None:
         clients = [
             await deployment.connect(CURRENT, node=number)
@@ -90,12 +89,12 @@
                 await writing.spawn(client.write_until_done)
         assert len(deployment.group.promotions) == 1
         longest = max(task.result for task in writing.tasks)
-        assert longest < GAP_LIMIT + 1
+        assert longest < MAX_WRITE_GAP_S + 1
 
     play(scenario, nodes=12, max_connections=9, settle=2.5)
 
 
-def test_statement_that_was_not_sent_is_tried_on_another_way() -> None:
+def test_statement_that_was_not_sent_is_retried_over_a_detour() -> None:
     async def scenario(deployment: Deployment) -> None:
         routes = [build_route(CURRENT, 'primary', timeoutMs=1000)]
         config = build_config(2, routes=routes)
@@ -110,8 +109,8 @@
     play(scenario)
 
 
-def test_nodes_that_are_silent_do_not_delay_a_change() -> None:
-    """All nodes of the first ranks are cut off, with many behind them."""
+def test_unresponsive_nodes_do_not_delay_a_change() -> None:
+    """The nodes that would act first do not answer."""
 
     async def scenario(deployment: Deployment) -> None:
         runtime = deployment.nodes[0].node.services[SERVICE]
@@ -125,12 +124,12 @@
         await client.ask('WRITE a 1')
         for running in deployment.nodes:
             if running.node.settings.name in first:
-                running.node.peers.answer = _stay_silent
+                running.node.peers.answer = _never_answer
         await deployment.group.primary.crash()
         assert await client.write_until_done() < 4.0
 
     play(scenario, nodes=9, max_connections=60)
 
 
-async def _stay_silent(_: object) -> None:
+async def _never_answer(_: object) -> None:
     await curio.sleep(60)
--- a/deckdrum/leadership/tests/test_unfinished_changes.py
+++ b/deckdrum/leadership/tests/test_unfinished_changes.py
@@ -1,18 +1,8 @@
-"""Changes of primary that were given up, or won and not recorded.
+"""Primary changes that were abandoned, or completed but not recorded.
 
-A fleet kept a group without a primary: each node in turn claimed term 2, no
-replica held for it within 1.2 s, the claim was taken back, and the record then
-named nobody.  The servers followed term 2 already, which the nodes did not
-know, and a server does not hold for a term that it follows.  A leaving primary
-that some nodes still found could not be replaced either, since the record did
-not name it.  What settled it were lines of every node,
-
-    leadership.recorded  term 2  primary ''  settled false  driver n1
-    leadership.recorded  term 1  primary ''  settled true   driver n1  (+1.21 s)
-    leadership.recorded  term 2  primary ''  settled false  driver n2  (+0.08 s)
-
-and the answers of a replica that follows term 1: after ``PAUSE 1`` it receives
-on, and ``PAUSE 2`` holds it.
+The record of such a change may name no primary, and servers may follow a term
+that no node knows.  A replica accepts a fence only for a term later than its
+own, so a new claim must use a term above any that servers follow.
 """
 
 from functools import partial
@@ -57,7 +47,7 @@
     )
 
 
-def test_claim_passes_a_term_that_only_the_servers_know() -> None:
+def test_claim_exceeds_a_term_known_only_to_servers() -> None:
     async def scenario(deployment: Deployment) -> None:
         old = deployment.group.primary
         for server in deployment.group.servers.values():
@@ -71,7 +61,9 @@
 
 
 @pytest.mark.parametrize('nodes', [3, 9])
-def test_primary_goes_on_after_a_claim_that_names_nobody(nodes: int) -> None:
+def test_primary_resumes_after_an_abandoned_claim_without_primary(
+    nodes: int,
+) -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
@@ -83,7 +75,7 @@
     play(scenario, nodes=nodes)
 
 
-def test_leaving_primary_is_replaced_though_the_record_names_nobody() -> None:
+def test_draining_primary_missing_from_the_record_is_replaced() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
@@ -100,9 +92,9 @@
     play(scenario)
 
 
-def test_change_that_was_won_is_recorded_later() -> None:
+def test_completed_change_is_recorded_later() -> None:
     async def scenario(deployment: Deployment) -> None:
-        """The store is away when the driver would settle the record."""
+        """The store is unavailable when the driver settles the record."""
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         await deployment.group.primary.crash()
@@ -151,7 +143,7 @@
 
 def test_nodes_that_start_without_a_record_find_a_primary() -> None:
     async def scenario(deployment: Deployment) -> None:
-        """What the servers follow began before the nodes did."""
+        """The servers follow a term from before the nodes started."""
         await deployment.stop_nodes()
         old = deployment.group.primary
         for server in deployment.group.servers.values():
@@ -167,17 +159,17 @@
     play(scenario)
 
 
-def test_later_claim_is_not_settled_for_the_one_before() -> None:
+def test_later_claim_is_not_settled_for_an_earlier_one() -> None:
     async def scenario(deployment: Deployment) -> None:
         await _record(deployment, phase=Phase.FENCING.value, operation='first')
         await curio.sleep(0.2)
         node = deployment.nodes[0].node
         known = node.view.get_leadership(SERVICE)
         assert known is not None
-        claims = LeadershipRecordStore(node.services[SERVICE], node.tools)
+        records = LeadershipRecordStore(node.services[SERVICE], node.tools)
         await _record(deployment, term=2, phase='fencing', operation='second')
         await curio.sleep(0.05)
-        await claims.settle_completed(known[1])
+        await records.settle_completed(known[1])
         assert _read_record(deployment)['operation'] == 'second'
         assert _read_record(deployment)['phase'] == Phase.FENCING.value
 
--- a/deckdrum/load/__init__.py
+++ b/deckdrum/load/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions under load: where work is placed, how it waits, what is refused.
+"""Load management: connection allocation, queueing, rate limits and eviction.
 
-Nothing here reads a clock, sends or receives: each decision is a function of
-what was observed.
+The functions in this package read no clock and do no I/O: each decision depends
+only on its arguments.
 """
 
 from deckdrum.load.placement import (
--- a/deckdrum/load/limits.py
+++ b/deckdrum/load/limits.py
@@ -1,12 +1,11 @@
-"""How a workspace's limit is kept over many nodes.
-
-The load that this answers: a workspace sends many times what it may, through
-every node at once, while nodes are cut off, killed or stopped.  With a part of
-the limit for each node, callers that come unevenly are refused far below it:
-with 71 nodes and 12 operations a second a part is one operation in six seconds.
-So one node, its *keeper*, counts for all.  What is begun in any window is then
-at most what the keeper's bucket lets through, and what the others may begin
-while they do not reach it; the latter together stay within the tolerance.
+"""Enforcing a workspace's rate limit across many nodes.
+
+Dividing a limit among the nodes would refuse uneven callers far below it.
+Instead one node, the *coordinator* of the workspace, counts for all nodes.
+*Deputies* stand in for a coordinator that cannot be reached, and a node that
+reaches neither has a small allowance of its own.  The operations begun beyond
+the limit in any window stay within a `Tolerance`, even while nodes are cut off,
+killed or frozen.
 """
 
 from collections import defaultdict
@@ -17,41 +16,37 @@
 
 from deckdrum.utils.ranks import weigh
 
-#: Keepers of each data centre at least, so that one may go, and nodes for each
-#: keeper: with 24, one keeper counts what 24 nodes begin.
+#: More than one, so that a data centre can lose a coordinator.
 MIN_COORDINATORS_PER_DATA_CENTRE: Final = 2
 NODES_PER_COORDINATOR: Final = 24
-#: Operations that a keeper may let through at once when it takes over: enough
-#: for callers who come unevenly, and few beside the tolerance (20 in a window).
+#: Operations that a coordinator admits at once when it takes over.
 INITIAL_TOKENS: Final = 3.0
-#: Longest time to come back that a caller is told, in seconds.
+#: Longest retry delay that is returned to a caller.
 MAX_RETRY_AFTER_S: Final = 60.0
-#: Parts of the tolerance: for the burst at the keeper, for deputies of one that
-#: may still count, and for nodes that reach no keeper.  A tenth is left for
-#: what is counted twice while keepers change.  The first lets a workspace with
-#: three operations a second send unevenly: of 123 that were sent at 0.6 of its
-#: limit 15 were refused without, none with it.
+#: Fractions of the tolerance: for bursts at the coordinator, for deputies while
+#: the coordinator may still count, and for isolated nodes.  What is left covers
+#: operations admitted twice while coordinators change.
 COORDINATOR_FRACTION: Final = 0.25
 DEPUTY_FRACTION: Final = 0.4
 ISOLATED_FRACTION: Final = 0.25
 _RANK_KEY: Final = 'limits'
-#: Bytes of a rank that are read as a number.
-_DRAWN_BYTES: Final = 4
+#: Leading bytes of a rank that are read as a number.
+_DRAW_BYTES: Final = 4
 _BYTE_VALUES: Final = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Tolerance:
-    """What may be begun beyond a limit in any window.
+    """How far the operations begun in any window may exceed a limit.
 
     Attributes
     ----------
     window : float
         Length of the window, in seconds.
     overrun : float
-        Part of what the limit allows in a window.
+        Allowed excess, as a fraction of what the limit allows in a window.
     slack : float
-        Operations beside.
+        Allowed excess in operations, in addition.
 
     Examples
     --------
@@ -64,46 +59,46 @@
     slack: float = 20
 
     def measure(self, rate: float, burst: float) -> float:
-        """Return the operations that may be begun beyond a limit."""
+        """Return the number of operations allowed beyond a limit."""
         return (rate * self.window + burst) * self.overrun + self.slack
 
 
-#: What holds where settings say nothing.
+#: Used where the settings specify no tolerance.
 DEFAULT_TOLERANCE: Final = Tolerance()
 
 
 class TokenBucket:
-    """What may be begun: a bucket that fills at a rate up to a burst.
+    """A token bucket whose rate and burst are given with each request.
 
     Parameters
     ----------
     level : float
-        Operations that may be begun at once.
+        Initial number of tokens.
     since : float
-        From when on it fills, in kernel seconds.
+        When the bucket begins to fill, in kernel seconds.
 
     Examples
     --------
-    >>> allowance = TokenBucket(level=1, since=0)
-    >>> allowance.take(rate=2, burst=4, now=0)
+    >>> bucket = TokenBucket(level=1, since=0)
+    >>> bucket.take(rate=2, burst=4, now=0)
     0
-    >>> allowance.take(rate=2, burst=4, now=0)
+    >>> bucket.take(rate=2, burst=4, now=0)
     0.5
-    >>> allowance.take(rate=2, burst=4, now=0.5)
+    >>> bucket.take(rate=2, burst=4, now=0.5)
     0
-    >>> allowance.take(rate=0, burst=0, now=0.5)
+    >>> bucket.take(rate=0, burst=0, now=0.5)
     60.0
     """
 
     def __init__(self, level: float, since: float) -> None:
         self._level = level
-        #: When it was last asked, in kernel seconds.
+        #: When a token was last requested, in kernel seconds.
         self.asked_at = since
 
     def take(self, rate: float, burst: float, now: float) -> float:
-        """Begin an operation, or return when one may be, in seconds.
+        """Take a token; return 0, or the seconds until one is available.
 
-        A limit that was lowered binds from this call on.
+        A lower rate or burst takes effect with this call.
         """
         filled = self._level + max(0, now - self.asked_at) * rate
         self._level = min(max(burst, 1), filled)
@@ -112,7 +107,7 @@
             self._level -= 1
             return 0
         missing = 1 - self._level
-        # A limit of nothing is looked at again now and then.
+        # With a rate of zero, callers retry in case the limit is raised.
         return (
             min(MAX_RETRY_AFTER_S, missing / rate)
             if rate
@@ -121,7 +116,7 @@
 
 
 def select_coordinators(nodes: Mapping[str, str]) -> tuple[str, ...]:
-    """Return the nodes that count for the others, a few of each data centre.
+    """Return the nodes that coordinate limits, a few per data centre.
 
     Parameters
     ----------
@@ -136,34 +131,34 @@
     >>> len(select_coordinators({'n1': 'a'}))
     1
     """
-    by_centre: defaultdict[str, list[str]] = defaultdict(list)
+    by_data_centre: defaultdict[str, list[str]] = defaultdict(list)
     for name in sorted(nodes, key=partial(weigh, _RANK_KEY)):
-        by_centre[nodes[name]].append(name)
-    keepers: list[str] = []
-    for ranked in by_centre.values():
+        by_data_centre[nodes[name]].append(name)
+    coordinators: list[str] = []
+    for ranked in by_data_centre.values():
         count = max(
             MIN_COORDINATORS_PER_DATA_CENTRE,
             len(ranked) // NODES_PER_COORDINATOR,
         )
-        keepers.extend(ranked[:count])
-    return tuple(sorted(keepers))
+        coordinators.extend(ranked[:count])
+    return tuple(sorted(coordinators))
 
 
-def rank_keepers(workspace: str, keepers: Iterable[str]) -> list[str]:
-    """Return a workspace's keeper, and who stands in for it, in order.
+def rank_keepers(workspace: str, coordinators: Iterable[str]) -> list[str]:
+    """Return the coordinator of a workspace, followed by its deputies.
 
     Examples
     --------
     >>> rank_keepers('growers', ['n1', 'n2', 'n3'])
     ['n2', 'n1', 'n3']
     """
-    return sorted(keepers, key=partial(weigh, workspace))
+    return sorted(coordinators, key=partial(weigh, workspace))
 
 
 def compute_coordinator_burst(
     rate: float, burst: float, tolerance: Tolerance
 ) -> float:
-    """Return the operations that a keeper lets through after a pause.
+    """Return the burst that a coordinator admits.
 
     Examples
     --------
@@ -176,15 +171,16 @@
 def compute_deputy_rate(
     rate: float, burst: float, tolerance: Tolerance
 ) -> float:
-    """Return what a deputy may let through while the keeper may count on.
+    """Return the rate that a deputy admits while the coordinator may count.
 
     Returns
     -------
     float
-        Operations a second.  The first tokens come out of the same part.
+        Operations per second.  The initial tokens use the same fraction of
+        the tolerance.
     """
-    room = tolerance.measure(rate, burst) * DEPUTY_FRACTION - INITIAL_TOKENS
-    return max(0, room) / tolerance.window
+    budget = tolerance.measure(rate, burst) * DEPUTY_FRACTION - INITIAL_TOKENS
+    return max(0, budget) / tolerance.window
 
 
 def compute_isolated_allowance(
@@ -195,16 +191,16 @@
     tolerance: Tolerance,
     nodes: int,
 ) -> tuple[float, float]:
-    """Return what a node may begin that reaches no keeper.
+    """Return the allowance of a node that reaches no coordinator.
 
-    All nodes may be in that state at a time, so each has an equal part; half
-    of it is given to some nodes at once, drawn by rank, since less than one
-    operation is of no use.
+    All nodes may be isolated at once, so each gets an equal share.  Half of it
+    is admitted at once: since parts of an operation are useless, some nodes,
+    chosen by rank, get one operation more than others.
 
     Returns
     -------
     tuple of float
-        Operations at once, a whole number, and operations a second.
+        Burst, a whole number of operations, and operations per second.
 
     Examples
     --------
@@ -215,9 +211,9 @@
     >>> at_once
     3.0
     """
-    part = tolerance.measure(rate, burst) * ISOLATED_FRACTION / 2 / nodes
-    rank = int.from_bytes(weigh(workspace, node)[:_DRAWN_BYTES])
-    drawn = rank / _BYTE_VALUES**_DRAWN_BYTES
-    whole, rest = divmod(part, 1)
-    at_once = whole + (drawn < rest)
-    return at_once, part / tolerance.window
+    share = tolerance.measure(rate, burst) * ISOLATED_FRACTION / 2 / nodes
+    rank = int.from_bytes(weigh(workspace, node)[:_DRAW_BYTES])
+    draw = rank / _BYTE_VALUES**_DRAW_BYTES
+    whole, remainder = divmod(share, 1)
+    at_once = whole + (draw < remainder)
+    return at_once, share / tolerance.window
--- a/deckdrum/load/tests/test_waiting.py
+++ b/deckdrum/load/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Replays of loads on one queue, in virtual time."""
+"""Simulated load on one queue, in virtual time."""
 
 import math
 from dataclasses import dataclass, field
@@ -14,16 +14,16 @@
 
 GROUP = 'stalls'
 CONNECTIONS = 3
-#: Time of one statement, and in which it should be answered, in seconds.
-WORK = 0.03
-OBJECTIVE = 0.25
-#: Longest wait, in seconds.
-LIMIT = 0.76
+#: Execution time of one statement, and the time to answer it in.
+WORK_S = 0.03
+OBJECTIVE_S = 0.25
+#: Longest wait in the queue.
+TIMEOUT_S = 0.76
 
 
 @dataclass(slots=True)
 class Tally:
-    """What became of statements; times in seconds."""
+    """Counts of statements by outcome, and the waits of refused ones."""
 
     in_time: int = 0
     late: int = 0
@@ -32,101 +32,105 @@
 
     @property
     def asked(self) -> int:
-        """Number of statements."""
+        """Total number of statements."""
         return self.in_time + self.late + self.refused
 
 
-async def _ask(queue: FairQueue, patience: float, tally: Tally) -> None:
+async def _run_statement(
+    queue: FairQueue, on_time_wait: float, tally: Tally
+) -> None:
     began = await curio.clock()
-    permit = await queue.acquire(GROUP, LIMIT, patience)
+    permit = await queue.acquire(GROUP, TIMEOUT_S, on_time_wait)
     waited = await curio.clock() - began
     if isinstance(permit, Refusal):
         tally.refused += 1
         tally.refusals.append(waited)
         return
-    await curio.sleep(WORK)
+    await curio.sleep(WORK_S)
     await queue.release(permit)
-    if waited + WORK <= OBJECTIVE:
+    if waited + WORK_S <= OBJECTIVE_S:
         tally.in_time += 1
     else:
         tally.late += 1
 
 
-async def _replay(
+async def _simulate(
     loads: list[tuple[float, float]],
-    patience: float,
+    on_time_wait: float,
     seed: int,
 ) -> Tally:
-    """Ask at random times: each load is a part of capacity for some seconds."""
+    """Send statements; each load is a fraction of capacity and a duration."""
     randomness = Random(seed)
     queue = FairQueue(CONNECTIONS, {})
     tally = Tally()
-    async with curio.TaskGroup() as asking:
-        for part, seconds in loads:
+    async with curio.TaskGroup() as tasks:
+        for fraction, seconds in loads:
             end = await curio.clock() + seconds
             while await curio.clock() < end:
-                pause = randomness.expovariate(part * CONNECTIONS / WORK)
+                pause = randomness.expovariate(fraction * CONNECTIONS / WORK_S)
                 await curio.sleep(pause)
-                await asking.spawn(_ask, queue, patience, tally)
+                await tasks.spawn(_run_statement, queue, on_time_wait, tally)
     return tally
 
 
-def replay(
+def simulate(
     loads: list[tuple[float, float]],
-    patience: float,
+    on_time_wait: float,
     seed: int = 1,
 ) -> Tally:
-    """Return what becomes of a load."""
-    tally: Tally = run_virtual(_replay, loads, patience, seed)
+    """Run a load in virtual time and return its outcome."""
+    tally: Tally = run_virtual(_simulate, loads, on_time_wait, seed)
     return tally
 
 
 @pytest.mark.parametrize('seed', range(3))
 def test_overload_leaves_most_in_time(seed: int) -> None:
-    """A group whose replicas are behind: a fifth more than it can do."""
+    """The load exceeds capacity by a fifth, as when replicas lag."""
     load = [(0.5, 1.0), (1.2, 8.0)]
-    ordered = replay(load, OBJECTIVE - WORK, seed)
-    in_turn = replay(load, math.inf, seed)
-    assert ordered.in_time / ordered.asked > 0.7
-    assert in_turn.in_time / in_turn.asked < 0.5
+    by_deadline = simulate(load, OBJECTIVE_S - WORK_S, seed)
+    by_arrival = simulate(load, math.inf, seed)
+    assert by_deadline.in_time / by_deadline.asked > 0.7
+    assert by_arrival.in_time / by_arrival.asked < 0.5
 
 
 @pytest.mark.parametrize('seed', range(3))
-def test_usual_load_is_not_turned_away(seed: int) -> None:
+def test_moderate_load_is_not_refused(seed: int) -> None:
     load = [(0.6, 10.0)]
-    ordered = replay(load, OBJECTIVE - WORK, seed)
-    assert ordered.refused == 0
-    assert ordered.late <= 0.01 * ordered.asked
+    by_deadline = simulate(load, OBJECTIVE_S - WORK_S, seed)
+    assert by_deadline.refused == 0
+    assert by_deadline.late <= 0.01 * by_deadline.asked
 
 
-def test_who_cannot_be_in_time_is_told_at_once() -> None:
-    ordered = replay([(2.0, 5.0)], OBJECTIVE - WORK)
-    assert ordered.refused > 100
-    assert median(ordered.refusals) < 0.05
-    held = sum(wait > OBJECTIVE for wait in ordered.refusals)
-    assert held <= 0.05 * ordered.refused
+def test_statement_that_would_be_late_is_refused_at_once() -> None:
+    by_deadline = simulate([(2.0, 5.0)], OBJECTIVE_S - WORK_S)
+    assert by_deadline.refused > 100
+    assert median(by_deadline.refusals) < 0.05
+    held = sum(wait > OBJECTIVE_S for wait in by_deadline.refusals)
+    assert held <= 0.05 * by_deadline.refused
 
 
 @pytest.mark.parametrize('seed', range(3))
 def test_overload_ends_with_its_cause(seed: int) -> None:
-    """No statement is late a second after a burst."""
+    """Statements are in time again soon after a burst."""
 
     async def scenario() -> Tally:
-        await _replay([(1.5, 4.0)], OBJECTIVE - WORK, seed)
-        return await _replay([(0.6, 4.0)], OBJECTIVE - WORK, seed)
+        await _simulate([(1.5, 4.0)], OBJECTIVE_S - WORK_S, seed)
+        return await _simulate([(0.6, 4.0)], OBJECTIVE_S - WORK_S, seed)
 
     after: Tally = run_virtual(scenario)
     assert after.late + after.refused <= 0.01 * after.asked
 
 
-def test_short_burst_is_served_late_rather_than_turned_away() -> None:
+def test_short_burst_is_served_late_rather_than_refused() -> None:
     async def scenario() -> Tally:
         tally = Tally()
         queue = FairQueue(CONNECTIONS, {})
-        async with curio.TaskGroup() as asking:
-            # A few more than can be in time, at once.
+        async with curio.TaskGroup() as tasks:
+            # Slightly more concurrent statements than can be in time.
             for _ in range(24):
-                await asking.spawn(_ask, queue, OBJECTIVE - WORK, tally)
+                await tasks.spawn(
+                    _run_statement, queue, OBJECTIVE_S - WORK_S, tally
+                )
         return tally
 
     tally: Tally = run_virtual(scenario)
@@ -135,71 +139,73 @@
     assert tally.in_time + tally.late >= 23
 
 
-def test_caller_that_is_turned_away_is_told_when_to_come_back() -> None:
+def test_refused_callers_get_different_retry_times() -> None:
     async def scenario() -> list[float]:
         queue = FairQueue(CONNECTIONS, {})
         tally = Tally()
-        returns: list[float] = []
-        async with curio.TaskGroup() as asking:
+        retry_times: list[float] = []
+        async with curio.TaskGroup() as tasks:
             for _ in range(60):
-                await asking.spawn(_ask, queue, OBJECTIVE - WORK, tally)
+                await tasks.spawn(
+                    _run_statement, queue, OBJECTIVE_S - WORK_S, tally
+                )
             await curio.sleep(0.2)
             for _ in range(40):
-                told = await queue.acquire(GROUP, 0.01, 0)
-                if isinstance(told, Refusal) and told.retry_after:
-                    returns.append(told.retry_after)
-        return returns
+                answer = await queue.acquire(GROUP, 0.01, 0)
+                if isinstance(answer, Refusal) and answer.retry_after:
+                    retry_times.append(answer.retry_after)
+        return retry_times
 
-    returns: list[float] = run_virtual(scenario)
-    assert len(set(returns)) > 3
-    assert max(returns) <= 2 * LIMIT
+    retry_times: list[float] = run_virtual(scenario)
+    assert len(set(retry_times)) > 3
+    assert max(retry_times) <= 2 * TIMEOUT_S
 
 
-#: Statements a second of one connection.
-SPEED = 1 / WORK
+#: Statements per second that one connection executes.
+RATE_PER_CONNECTION = 1 / WORK_S
 
 
-async def _ask_for(
+async def _run_statement_of(
     queue: FairQueue,
     owner: str,
     tally: Tally,
 ) -> None:
     began = await curio.clock()
-    permit = await queue.acquire(GROUP, LIMIT, OBJECTIVE - WORK, owner)
+    permit = await queue.acquire(GROUP, TIMEOUT_S, OBJECTIVE_S - WORK_S, owner)
     if isinstance(permit, Refusal):
         tally.refused += 1
         return
     waited = await curio.clock() - began
-    await curio.sleep(WORK)
+    await curio.sleep(WORK_S)
     await queue.release(permit)
-    if waited + WORK <= OBJECTIVE:
+    if waited + WORK_S <= OBJECTIVE_S:
         tally.in_time += 1
     else:
         tally.late += 1
 
 
-async def _replay_hot(hot: float, seed: int) -> tuple[Tally, Tally]:
-    """Ask for ten workspaces at half of capacity, and for a hot one beside."""
+async def _simulate_hot_workspace(hot: float, seed: int) -> tuple[Tally, Tally]:
+    """Load ten workspaces with half of capacity, and one with `hot` of it."""
     randomness = Random(seed)
     queue = FairQueue(CONNECTIONS, {})
-    usual, heated = Tally(), Tally()
-    rate = CONNECTIONS * SPEED
-    async with curio.TaskGroup() as asking:
+    others, hot_tally = Tally(), Tally()
+    rate = CONNECTIONS * RATE_PER_CONNECTION
+    async with curio.TaskGroup() as tasks:
         end = await curio.clock() + 20
         while await curio.clock() < end:
             await curio.sleep(randomness.expovariate(rate * (0.5 + hot)))
             if randomness.random() < 0.5 / (0.5 + hot):
                 owner = f'w{randomness.randrange(10)}'
-                await asking.spawn(_ask_for, queue, owner, usual)
+                await tasks.spawn(_run_statement_of, queue, owner, others)
             else:
-                await asking.spawn(_ask_for, queue, 'hot', heated)
-    return usual, heated
+                await tasks.spawn(_run_statement_of, queue, 'hot', hot_tally)
+    return others, hot_tally
 
 
 @pytest.mark.parametrize('seed', [1, 2, 3])
 @pytest.mark.parametrize('hot', [0.7, 1.5, 3.0])
-def test_hot_workspace_costs_no_other_its_time(hot: float, seed: int) -> None:
-    usual, heated = run_virtual(_replay_hot, hot, seed)
-    assert usual.in_time >= 0.95 * usual.asked
-    # What the others leave is the hot one's.
-    assert heated.in_time >= 0.3 * 20 * CONNECTIONS * SPEED
+def test_hot_workspace_does_not_delay_others(hot: float, seed: int) -> None:
+    others, hot_tally = run_virtual(_simulate_hot_workspace, hot, seed)
+    assert others.in_time >= 0.95 * others.asked
+    # The hot workspace gets the remaining capacity.
+    assert hot_tally.in_time >= 0.3 * 20 * CONNECTIONS * RATE_PER_CONNECTION
--- a/deckdrum/load/tests/test_workspaces.py
+++ b/deckdrum/load/tests/test_workspaces.py
@@ -1,8 +1,7 @@
-"""Replays of workspaces that take turns at few connections.
+"""Simulated statements of many workspaces that share few connections.
 
-Twelve statements a second for 78 workspaces, a few of them large, come to 71
-nodes in three data centres.  Six of these hold two connections each to every
-server of a group: 12 for all workspaces together.
+A few holders have fewer connections to each server than there are workspaces,
+so that statements must meet connections that are already open.
 """
 
 from collections.abc import Callable, Sequence
@@ -23,22 +22,22 @@
 CONNECTIONS: Final = 2
 STATEMENTS: Final = 6000
 
-#: Returns the holder and the server of a workspace's statement at a node.
-_Place = Callable[[str, int, Random], tuple[str, str]]
+#: Returns the holder and the server for a workspace's statement at a node.
+_Router = Callable[[str, int, Random], tuple[str, str]]
 
 
-def _place_by_node(
+def _route_by_node(
     workspace: str,
     node: int,
     randomness: Random,
 ) -> tuple[str, str]:
-    """Each node hands all to its nearest holder; any replica does."""
-    near = [name for name in HOLDERS if int(name[1:]) % 3 == node % 3]
-    holder = min(near, key=lambda name: weigh(f'n{node}', name))
+    """Use the holder in the node's data centre, and a random server."""
+    local_holders = [name for name in HOLDERS if int(name[1:]) % 3 == node % 3]
+    holder = min(local_holders, key=lambda name: weigh(f'n{node}', name))
     return holder, randomness.choice(SERVERS)
 
 
-def _place_by_workspace(
+def _route_by_workspace(
     workspace: str,
     node: int,
     randomness: Random,
@@ -47,8 +46,8 @@
     return holder, rank_replicas(workspace, SERVERS)[0]
 
 
-async def _replay(place: _Place, seed: int) -> float:
-    """Return the part of statements that found a connection open."""
+async def _simulate(route: _Router, seed: int) -> float:
+    """Return the fraction of statements that found a connection open."""
     randomness = Random(seed)
     pools: dict[tuple[str, str], CountedPool] = {
         (holder, server): build_pool(CONNECTIONS)
@@ -57,25 +56,25 @@
     }
     for workspace in randomness.choices(WORKSPACES, WEIGHTS, k=STATEMENTS):
         node = randomness.randrange(NODES)
-        pool = pools[place(workspace, node, randomness)]
+        pool = pools[route(workspace, node, randomness)]
         lease = await pool.acquire('db', 1, workspace=workspace)
         assert not isinstance(lease, Refusal)
         await pool.release(lease, is_clean=True)
-    return _read_share(list(pools.values()))
+    return _compute_reused_fraction(list(pools.values()))
 
 
-def _read_share(pools: Sequence[CountedPool]) -> float:
+def _compute_reused_fraction(pools: Sequence[CountedPool]) -> float:
     reused = sum(pool.figures.reused for pool in pools)
     return reused / STATEMENTS
 
 
-def test_statements_of_a_workspace_meet_at_open_connections() -> None:
-    scattered = run_virtual(_replay, _place_by_node, 1)
-    gathered = run_virtual(_replay, _place_by_workspace, 1)
+def test_routing_by_workspace_finds_more_open_connections() -> None:
+    scattered = run_virtual(_simulate, _route_by_node, 1)
+    gathered = run_virtual(_simulate, _route_by_workspace, 1)
     assert scattered < 0.25
     assert gathered > 2 * scattered
 
 
-def test_rare_workspaces_push_out_no_connection_of_large_ones() -> None:
-    """The longest unused would be that of a large one as often as not."""
-    assert run_virtual(_replay, _place_by_workspace, 1) > 0.65
+def test_rare_workspaces_do_not_evict_connections_of_large_ones() -> None:
+    """Evicting the least recently used would often hit a large workspace."""
+    assert run_virtual(_simulate, _route_by_workspace, 1) > 0.65
--- a/deckdrum/load/waiting.py
+++ b/deckdrum/load/waiting.py
@@ -1,42 +1,39 @@
-"""Which waiting statement is next, and which are turned away while they wait.
-
-The load that this answers: replicas fall behind, so all reads of a group go to
-its primary, which is asked for as much as it can do or a little more.  First
-come, first served, the queue grows until each statement has waited longer than
-its objective: nearly all are answered, and nearly all late.  Here those that
-can still be in time go first.  What is late already is run in the time that is
-left over; of that only a little may wait, and the others are told at once.
-
-Beside it: one workspace sends many times its usual.  By the order of arrival
-all others would wait behind it.  Here the workspaces take turns: a statement
-waits for those of its own workspace that came before it, and for as many of
-each other.
+"""Order and rejection of statements that wait for a connection.
+
+A group may be asked for more than it can do, for instance when lagging replicas
+send all reads to the primary.  With first come, first served, nearly every
+statement would be answered late.  Here statements that can still be answered
+within their objective go first.  A few late ones may wait for spare capacity;
+the others are rejected at once.
+
+Workspaces take turns: a statement waits for the earlier statements of its own
+workspace and for as many of each other workspace, so that one busy workspace
+does not delay the rest.
 """
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Final
 
-#: Statements that may wait though they are late, for each connection: as many
-#: as are run soon once the load is over.  With more, those behind would be told
-#: only when their time is up.
+#: Late statements that may wait, per connection; more of them would be rejected
+#: only after their timeout.
 LATE_WAITERS_PER_CONNECTION: Final = 1
-#: Parts into which the time to come back is spread, so that callers who are
-#: turned away together do not return together.
+#: Number of different retry times, so that callers rejected together do not
+#: retry together.
 RETRY_SPREAD_STEPS: Final = 8
 
 
 def count_own_ahead(
     owners: Iterable[str], held: Mapping[str, int]
 ) -> list[int]:
-    """Return how many of its own workspace go before each waiter.
+    """Return how many of its own workspace are ahead of each waiter.
 
     Parameters
     ----------
     owners : iterable of str
-        Workspaces of the waiters, in the order in which they came.
+        Workspaces of the waiters, in order of arrival.
     held : mapping of str to int
-        Connections that workspaces use now; each counts as one before.
+        Connections in use by workspace; each counts as one ahead.
 
     Examples
     --------
@@ -45,71 +42,75 @@
     >>> count_own_ahead(['growers', 'shoppers'], {'growers': 2})
     [2, 0]
     """
-    before = Counter(held)
-    turns = []
+    ahead_by_owner = Counter(held)
+    own_ahead = []
     for owner in owners:
-        turns.append(before[owner])
-        before[owner] += 1
-    return turns
+        own_ahead.append(ahead_by_owner[owner])
+        ahead_by_owner[owner] += 1
+    return own_ahead
 
 
-def select_next(dues: Sequence[float], turns: Sequence[int], now: float) -> int:
-    """Return the place of the waiter that is next.
+def select_next(
+    deadlines: Sequence[float], own_ahead: Sequence[int], now: float
+) -> int:
+    """Return the index of the waiter that is served next.
 
     Parameters
     ----------
-    dues : sequence of float
-        Until when each must have its turn to be answered in time, in the order
-        in which they came, in kernel seconds.
-    turns : sequence of int
-        How many of its own workspace go before each.
+    deadlines : sequence of float
+        Latest start of each waiter that meets its objective, in order of
+        arrival, in kernel seconds.
+    own_ahead : sequence of int
+        How many of its own workspace are ahead of each.
     now : float
-        In kernel seconds.
+        Current time, in kernel seconds.
 
     Examples
     --------
-    The first is late already, the second is not.
+    The first waiter is late, the second is not.
 
     >>> select_next([1.0, 5.0, 6.0], [0, 1, 2], now=2.0)
     1
     >>> select_next([1.0, 1.5], [0, 1], now=2.0)
     0
 
-    The last is of another workspace than the others.
+    The last waiter belongs to another workspace than the others.
 
     >>> select_next([5.0, 5.1, 5.2], [1, 2, 0], now=2.0)
     2
     """
-    places = range(len(dues))
-    in_time = [place for place in places if dues[place] >= now]
-    return min(in_time or places, key=lambda place: (turns[place], place))
+    indices = range(len(deadlines))
+    in_time = [index for index in indices if deadlines[index] >= now]
+    return min(in_time or indices, key=lambda index: (own_ahead[index], index))
 
 
-def count_before(
-    dues: Sequence[float],
-    turns: Sequence[int],
-    turn: int,
+def count_ahead(
+    deadlines: Sequence[float],
+    own_ahead: Sequence[int],
+    own_ahead_of_new: int,
     now: float,
 ) -> int:
-    """Return how many waiters go before one that has just come.
+    """Return how many waiters are ahead of a new one.
 
-    `turn` is how many of its own workspace go before it.
+    `own_ahead_of_new` is how many of its own workspace are ahead of it.
 
     Examples
     --------
-    >>> count_before([5.0, 5.1, 5.2], [0, 1, 2], turn=0, now=2.0)
+    >>> count_ahead([5.0, 5.1, 5.2], [0, 1, 2], own_ahead_of_new=0, now=2.0)
     1
-    >>> count_before([5.0, 5.1, 5.2], [0, 1, 2], turn=3, now=2.0)
+    >>> count_ahead([5.0, 5.1, 5.2], [0, 1, 2], own_ahead_of_new=3, now=2.0)
     3
     """
     return sum(
-        due >= now and other <= turn
-        for due, other in zip(dues, turns, strict=True)
+        deadline >= now and other <= own_ahead_of_new
+        for deadline, other in zip(deadlines, own_ahead, strict=True)
     )
 
 
-def can_queue_late(dues: Iterable[float], now: float, connections: int) -> bool:
-    """Tell whether one more statement may wait that will be late.
+def can_queue_late(
+    deadlines: Iterable[float], now: float, connections: int
+) -> bool:
+    """Return whether one more late statement may wait.
 
     Examples
     --------
@@ -118,28 +119,28 @@
     >>> can_queue_late([1.0, 1.0], now=2.0, connections=2)
     False
     """
-    late = sum(due < now for due in dues)
+    late = sum(deadline < now for deadline in deadlines)
     return late < connections * LATE_WAITERS_PER_CONNECTION
 
 
-def compute_retry_after(wait: float, turned_away: int) -> float:
-    """Return when a caller that is turned away should come back, in seconds.
+def compute_retry_after(wait: float, rejected: int) -> float:
+    """Return after how many seconds a rejected caller should retry.
 
     Parameters
     ----------
     wait : float
-        How long the queue takes to empty, in seconds.
-    turned_away : int
-        How many were turned away before.
+        Expected time until the queue is empty, in seconds.
+    rejected : int
+        Number of callers rejected so far.
 
     Examples
     --------
     >>> (
-    ...     compute_retry_after(0.4, turned_away=0),
-    ...     compute_retry_after(0.4, turned_away=4),
+    ...     compute_retry_after(0.4, rejected=0),
+    ...     compute_retry_after(0.4, rejected=4),
     ... )
     (0.4, 0.6)
     """
     return round(
-        wait * (1 + turned_away % RETRY_SPREAD_STEPS / RETRY_SPREAD_STEPS), 3
+        wait * (1 + rejected % RETRY_SPREAD_STEPS / RETRY_SPREAD_STEPS), 3
     )
--- a/deckdrum/members/__init__.py
+++ b/deckdrum/members/__init__.py
@@ -1,4 +1,4 @@
-"""Member groups and their fair shares of connections."""
+"""Fair sharing of connections between member groups."""
 
 from deckdrum.members.queue import FairQueue, GroupShare, Permit
 
--- a/deckdrum/members/queue.py
+++ b/deckdrum/members/queue.py
@@ -1,14 +1,15 @@
 """A fair queue for the connections of one database.
 
-The free connection goes to the waiting group that holds the fewest
-connections for its weight; among equals to the one that has used the least.
+A free connection goes to the waiting group with the fewest connections in
+proportion to its weight; among equals, to the group that has used the least
+connection time.
 
-Within a group those that can still be in time go first, and workspaces take
-turns (`load.waiting`).
+Within a group, requests that can still be answered in time go first, and
+workspaces take turns (`load.queueing`).
 
-Beyond its share a group borrows.  What other groups have lately needed, up to
-their shares, is not lent: they find it free.  A need that is not felt again
-fades within seconds, so that a group alone uses every connection.
+A group may borrow connections beyond its share.  Connections that other groups
+needed recently, up to their shares, are reserved for them.  This demand decays
+within seconds, so a group that is alone can use every connection.
 """
 
 import math
@@ -22,23 +23,23 @@
 from deckdrum.load.waiting import (
     can_queue_late,
     compute_retry_after,
-    count_before,
+    count_ahead,
     count_own_ahead,
     select_next,
 )
 from deckdrum.outcomes import Code, Refusal, refuse
 
-#: Time in which a need that is not felt again fades by half, in seconds.
-_NEED_HALF_LIFE: Final = 1.0
-#: Weight of the latest hold in the usual one.
-_HOLD_WEIGHT: Final = 0.05
-#: How often a waiting request looks whether needs have faded, in seconds.
-_LOOK_AGAIN: Final = 0.25
+#: Time in which a group's demand decays by half.
+_DEMAND_HALF_LIFE_S: Final = 1.0
+#: Smoothing factor of the average time for which a connection is held.
+_HOLD_TIME_SMOOTHING: Final = 0.05
+#: Interval at which a waiting request checks whether demand has decayed.
+_RECHECK_INTERVAL_S: Final = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class GroupShare:
-    """What the configuration grants a member group."""
+    """The configured share of a member group."""
 
     weight: float = 1
     max_waiting: int = 200
@@ -46,20 +47,20 @@
 
 @dataclass(slots=True, eq=False)
 class Permit:
-    """The right to use one connection; given back by `FairQueue.release`."""
+    """The right to use one connection, until `FairQueue.release`."""
 
     group: str
     granted_at: float
     owner: str = ''
-    spent: bool = False
+    is_released: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
     group: str
-    #: Until when it must have its turn to be in time, in kernel seconds.
-    due: float
-    #: Workspace that it belongs to; empty where there are none.
+    #: Latest start that meets the objective, in kernel seconds.
+    deadline: float
+    #: Workspace that it belongs to; empty if there are none.
     owner: str
     ready: Any = field(default_factory=curio.Event)
     permit: Permit | None = None
@@ -67,80 +68,96 @@
 
 @dataclass(slots=True)
 class _Account:
-    """Holdings of one group.
+    """State of one group.
 
-    Connections held, in all and by workspace, seconds used, waiters, and how
-    many connections it lately needed at a time (`needed` as of `needed_at`).
+    Attributes
+    ----------
+    share : GroupShare
+        Its configured share.
+    held : int
+        Connections in use.
+    held_by_owner : Counter of str
+        Connections in use by workspace.
+    used : float
+        Connection time used, in seconds.
+    demand : float
+        Connections recently needed at a time, as of `demand_at`.
+    demand_at : float
+        In kernel seconds.
+    waiting : deque of _Waiter
+        Waiting requests, in order of arrival.
     """
 
     share: GroupShare
     held: int = 0
     held_by_owner: Counter[str] = field(default_factory=Counter)
     used: float = 0
-    needed: float = 0
-    needed_at: float = 0
+    demand: float = 0
+    demand_at: float = 0
     waiting: deque[_Waiter] = field(default_factory=deque)
 
     @property
-    def dues(self) -> list[float]:
-        """Until when each waiter must have its turn, in their order."""
-        return [waiter.due for waiter in self.waiting]
+    def deadlines(self) -> list[float]:
+        """Latest start of each waiter, in order of arrival."""
+        return [waiter.deadline for waiter in self.waiting]
 
     @property
-    def turns(self) -> list[int]:
-        """How many of its own workspace go before each waiter."""
+    def own_ahead(self) -> list[int]:
+        """How many of its own workspace are ahead of each waiter."""
         owners = [waiter.owner for waiter in self.waiting]
         return count_own_ahead(owners, self.held_by_owner)
 
-    def count_before(self, owner: str, now: float) -> int:
-        """Return how many waiters go before one more of a workspace."""
-        own = sum(waiter.owner == owner for waiter in self.waiting)
-        turn = self.held_by_owner[owner] + own
-        return count_before(self.dues, self.turns, turn, now)
-
-    def take_next(self, now: float) -> _Waiter:
-        """Remove the waiter that is next and return it."""
-        place = select_next(self.dues, self.turns, now)
-        waiter = self.waiting[place]
-        del self.waiting[place]
+    def count_ahead(self, owner: str, now: float) -> int:
+        """Return how many waiters are ahead of a new one of a workspace."""
+        own_waiting = sum(waiter.owner == owner for waiter in self.waiting)
+        own_ahead_of_new = self.held_by_owner[owner] + own_waiting
+        return count_ahead(
+            self.deadlines, self.own_ahead, own_ahead_of_new, now
+        )
+
+    def pop_next(self, now: float) -> _Waiter:
+        """Remove and return the waiter that is served next."""
+        index = select_next(self.deadlines, self.own_ahead, now)
+        waiter = self.waiting[index]
+        del self.waiting[index]
         return waiter
 
-    def note_need(self, now: float) -> None:
-        """Note a request: one connection more than are held is needed."""
-        wanted = self.held + len(self.waiting) + 1
-        self.needed = max(wanted, self.read_need(now))
-        self.needed_at = now
+    def record_demand(self, now: float) -> None:
+        """Update the demand for a new request."""
+        requested = self.held + len(self.waiting) + 1
+        self.demand = max(requested, self.compute_demand(now))
+        self.demand_at = now
 
-    def read_need(self, now: float) -> float:
-        """Return the lately needed connections; fades by halves."""
-        age = now - self.needed_at
-        faded = math.exp2(-age / _NEED_HALF_LIFE)
-        return self.needed * faded
+    def compute_demand(self, now: float) -> float:
+        """Return the decayed demand, in connections."""
+        age = now - self.demand_at
+        decay = math.exp2(-age / _DEMAND_HALF_LIFE_S)
+        return self.demand * decay
 
     def rank(self) -> tuple[float, float]:
-        """Return the order in which groups are served; the least first."""
+        """Return the sort key by which groups are served, the least first."""
         weight = self.share.weight
         return (self.held + 1) / weight, self.used / weight
 
 
 class FairQueue:
-    """Shares a number of connections between member groups.
+    """Shares connections between member groups.
 
     Parameters
     ----------
     slots : int
-        Connections to share.
+        Number of connections to share.
     shares : mapping of str to GroupShare
-        Declared groups; others get the default share.
+        Shares of configured groups; others get the default share.
     """
 
     def __init__(self, slots: int, shares: Mapping[str, GroupShare]) -> None:
-        #: Connections to share.
+        #: Number of connections to share.
         self.slots = slots
         self._shares = dict(shares)
         self._accounts: dict[str, _Account] = {}
-        self._usual_hold: float = 0
-        #: Permits granted, and requests turned away, so far.
+        self._average_hold_time: float = 0
+        #: Permits granted and requests rejected so far.
         self.granted_count = 0
         self.turned_away = 0
 
@@ -151,7 +168,7 @@
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return sum(len(each.waiting) for each in self._accounts.values())
 
     @property
@@ -160,12 +177,12 @@
         return self.held >= self.slots or self.waiting > 0
 
     def count_held(self, group: str) -> int:
-        """Return the connections that `group` uses."""
-        return self._find(group).held
+        """Return how many connections `group` uses."""
+        return self._get_account(group).held
 
     def must_return_connection(self, group: str) -> bool:
-        """Tell whether `group` borrows while another waits for its share."""
-        borrower = self._find(group)
+        """Return whether `group` borrows while another waits for its share."""
+        borrower = self._get_account(group)
         if borrower.held <= self._count_share(borrower):
             return False
         return any(
@@ -179,7 +196,7 @@
         slots: int,
         shares: Mapping[str, GroupShare],
     ) -> None:
-        """Take over a new configuration; held connections stay held."""
+        """Apply a new configuration; connections in use are kept."""
         self.slots = slots
         self._shares = dict(shares)
         for group, account in self._accounts.items():
@@ -189,8 +206,8 @@
     async def acquire(
         self,
         group: str,
-        limit: float,
-        patience: float = math.inf,
+        timeout: float,
+        on_time_wait: float = math.inf,
         owner: str = '',
     ) -> Permit | Refusal:
         """Wait for a connection.
@@ -199,40 +216,44 @@
         ----------
         group : str
             The member group that asks.
-        limit : float
-            Longest wait in seconds.
-        patience : float
-            Longest wait after which the request can be answered in time.
+        timeout : float
+            Longest wait, in seconds.
+        on_time_wait : float
+            Longest wait, in seconds, after which the request still meets its
+            objective.
         owner : str
-            Workspace of the group that takes turns with others.
+            Workspace of the request; workspaces of a group take turns.
 
         Returns
         -------
         Permit or Refusal
-            ``QUEUE_FULL`` at once if too many of the group wait already,
-            ``QUEUE_TIMEOUT`` after `limit`, or as soon as it is known that its
-            turn comes later, or that it is late like enough others.
+            ``QUEUE_FULL`` at once if too many of the group wait already;
+            ``QUEUE_TIMEOUT`` after `timeout`, or earlier if the wait is
+            expected to be longer, or the request is late and enough late
+            requests wait already.
         """
-        account = self._find(group)
+        account = self._get_account(group)
         now = await curio.clock()
-        account.note_need(now)
-        if not account.waiting and self._may_grant(account, now):
+        account.record_demand(now)
+        if not account.waiting and self._can_grant(account, now):
             return self._grant(account, group, owner, now)
         if len(account.waiting) >= account.share.max_waiting:
             return await self._refuse(
                 Code.QUEUE_FULL, account, owner, 'is full'
             )
-        expected = self._expect_wait(account, owner, now)
-        is_late = expected > patience and not self._may_be_late(account, now)
-        if expected > limit or is_late:
-            reason = 'waits too long'
+        expected = self._estimate_wait(account, owner, now)
+        is_late = expected > on_time_wait and not self._can_queue_late(
+            account, now
+        )
+        if expected > timeout or is_late:
+            reason = 'has too long a queue'
             return await self._refuse(
                 Code.QUEUE_TIMEOUT, account, owner, reason
             )
-        waiter = _Waiter(group, now + patience, owner)
+        waiter = _Waiter(group, now + on_time_wait, owner)
         account.waiting.append(waiter)
         try:
-            await self._wait_in_time(waiter, account, limit, patience)
+            await self._wait_in_time(waiter, account, timeout, on_time_wait)
         except curio.CancelledError:
             await self._abandon(account, waiter)
             raise
@@ -245,25 +266,27 @@
         return waiter.permit
 
     async def release(self, permit: Permit) -> None:
-        """Give a connection back; a second call does nothing."""
-        if permit.spent:
+        """Return a connection; a second call does nothing."""
+        if permit.is_released:
             return
-        permit.spent = True
-        account = self._find(permit.group)
+        permit.is_released = True
+        account = self._get_account(permit.group)
         account.held -= 1
         account.held_by_owner[permit.owner] -= 1
         if not account.held_by_owner[permit.owner]:
             del account.held_by_owner[permit.owner]
-        hold = await curio.clock() - permit.granted_at
-        account.used += hold
-        self._usual_hold += (hold - self._usual_hold) * _HOLD_WEIGHT
+        hold_time = await curio.clock() - permit.granted_at
+        account.used += hold_time
+        self._average_hold_time += (
+            hold_time - self._average_hold_time
+        ) * _HOLD_TIME_SMOOTHING
         await self._dispatch()
 
-    def _find(self, group: str) -> _Account:
+    def _get_account(self, group: str) -> _Account:
         account = self._accounts.get(group)
         if account is None:
             account = _Account(self._shares.get(group, GroupShare()))
-            # A newcomer starts level with the least user, not with a credit.
+            # A new group starts level with the group that has used least.
             account.used = min(
                 (each.used for each in self._accounts.values()),
                 default=0,
@@ -271,23 +294,27 @@
             self._accounts[group] = account
         return account
 
-    def _expect_wait(
+    def _estimate_wait(
         self,
         account: _Account,
         owner: str,
         now: float,
     ) -> float:
-        """Return the likely wait of one request more, in seconds."""
-        ahead = account.count_before(owner, now)
-        return ahead * self._usual_hold / self._count_connections(account)
+        """Return the expected wait of a new request, in seconds."""
+        waiters_ahead = account.count_ahead(owner, now)
+        return (
+            waiters_ahead
+            * self._average_hold_time
+            / self._count_connections(account)
+        )
 
-    def _may_be_late(self, account: _Account, now: float) -> bool:
-        """Tell whether one more request of a group may wait too long."""
+    def _can_queue_late(self, account: _Account, now: float) -> bool:
+        """Return whether one more late request of a group may wait."""
         connections = self._count_connections(account)
-        return can_queue_late(account.dues, now, connections)
+        return can_queue_late(account.deadlines, now, connections)
 
     def _count_connections(self, account: _Account) -> int:
-        """Return the connections that serve a group's waiters."""
+        """Return the number of connections that serve a group's waiters."""
         return max(account.held, self._count_share(account))
 
     async def _refuse(
@@ -297,15 +324,17 @@
         owner: str,
         reason: str,
     ) -> Refusal:
-        """Return a refusal that tells when the queue will have emptied."""
+        """Return a refusal with the time after which to retry."""
         now = await curio.clock()
-        wait = self._expect_wait(account, owner, now) + self._usual_hold
+        wait = (
+            self._estimate_wait(account, owner, now) + self._average_hold_time
+        )
         self.turned_away += 1
         retry_after = compute_retry_after(wait, self.turned_away)
         return refuse(code, f'the group {reason}', retry_after)
 
-    def _may_grant(self, account: _Account, now: float) -> bool:
-        """Tell whether a group may have one connection more."""
+    def _can_grant(self, account: _Account, now: float) -> bool:
+        """Return whether a group may be granted a connection."""
         free = self.slots - self.held
         if free <= 0:
             return False
@@ -314,19 +343,19 @@
         return free > self._count_reserved(account, now)
 
     def _count_share(self, account: _Account) -> int:
-        """Return the connections that belong to a group, at least one."""
+        """Return a group's share in connections, at least one."""
         weights = [share.weight for share in self._shares.values()]
-        whole = sum(weights) or account.share.weight
-        return max(1, int(self.slots * account.share.weight / whole))
+        total_weight = sum(weights) or account.share.weight
+        return max(1, int(self.slots * account.share.weight / total_weight))
 
     def _count_reserved(self, borrower: _Account, now: float) -> int:
-        """Return the free connections that others are likely to need."""
+        """Return how many free connections are reserved for other groups."""
         reserved = 0
         for account in self._accounts.values():
             if account is not borrower:
-                need = round(account.read_need(now))
-                own = min(need, self._count_share(account))
-                reserved += max(0, own - account.held)
+                demand = round(account.compute_demand(now))
+                own_demand = min(demand, self._count_share(account))
+                reserved += max(0, own_demand - account.held)
         return reserved
 
     def _grant(
@@ -345,23 +374,25 @@
         self,
         waiter: _Waiter,
         account: _Account,
-        limit: float,
-        patience: float,
+        timeout: float,
+        on_time_wait: float,
     ) -> None:
-        """Wait; once late only if few others are."""
-        await self._wait(waiter, min(limit, patience))
-        if waiter.permit is not None or limit <= patience:
+        """Wait for a permit; once late, only if few other requests are."""
+        await self._wait(waiter, min(timeout, on_time_wait))
+        if waiter.permit is not None or timeout <= on_time_wait:
             return
         now = await curio.clock()
-        others = [each.due for each in account.waiting if each is not waiter]
+        others = [
+            each.deadline for each in account.waiting if each is not waiter
+        ]
         if can_queue_late(others, now, self._count_connections(account)):
-            await self._wait(waiter, limit - patience)
+            await self._wait(waiter, timeout - on_time_wait)
 
-    async def _wait(self, waiter: _Waiter, limit: float) -> None:
-        """Wait for a permit; needs of others that fade free connections."""
-        async with curio.ignore_after(limit):
+    async def _wait(self, waiter: _Waiter, timeout: float) -> None:
+        """Wait for a permit, rechecking as the demand of others decays."""
+        async with curio.ignore_after(timeout):
             while waiter.permit is None:
-                async with curio.ignore_after(_LOOK_AGAIN):
+                async with curio.ignore_after(_RECHECK_INTERVAL_S):
                     await waiter.ready.wait()
                 await self._dispatch()
 
@@ -377,12 +408,12 @@
             ready = [
                 each
                 for each in self._accounts.values()
-                if each.waiting and self._may_grant(each, now)
+                if each.waiting and self._can_grant(each, now)
             ]
             if not ready:
                 return
             account = min(ready, key=_Account.rank)
-            waiter = account.take_next(now)
+            waiter = account.pop_next(now)
             waiter.permit = self._grant(
                 account,
                 waiter.group,
--- a/deckdrum/members/tests/test_queue.py
+++ b/deckdrum/members/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Shares of connections, in virtual time."""
+"""Fair sharing of connections between groups, in virtual time."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
 SHARES = {'growers': GroupShare(2), 'shoppers': GroupShare(1, 5)}
 
 
-async def use(
+async def use_connection(
     queue: FairQueue, group: str, seconds: float, done: Counter[str]
 ) -> None:
     permit = await queue.acquire(group, 1000)
@@ -23,11 +23,11 @@
         await queue.release(permit)
 
 
-async def load(
+async def send_requests(
     queue: FairQueue, group: str, number: int, done: Counter[str]
 ) -> None:
     while True:
-        await use(queue, group, 0.1, done)
+        await use_connection(queue, group, 0.1, done)
 
 
 def test_connections_follow_weights_under_load() -> None:
@@ -35,7 +35,7 @@
         queue = FairQueue(6, {'a': GroupShare(2), 'b': GroupShare(1)})
         done: Counter[str] = Counter()
         tasks = [
-            await curio.spawn(load, queue, group, number, done)
+            await curio.spawn(send_requests, queue, group, number, done)
             for group in ('a', 'b')
             for number in range(20)
         ]
@@ -49,7 +49,7 @@
     assert done['a'] + done['b'] >= 6 * 98
 
 
-def test_a_group_alone_uses_everything() -> None:
+def test_single_group_uses_all_connections() -> None:
     async def main() -> int:
         queue = FairQueue(4, SHARES)
         for _ in range(4):
@@ -59,7 +59,7 @@
     assert run_virtual(main) == 4
 
 
-def test_a_returning_group_gets_the_next_connection() -> None:
+def test_group_without_connections_gets_the_next_one() -> None:
     async def main() -> str:
         queue = FairQueue(1, SHARES)
         held = await queue.acquire('shoppers', 1)
@@ -112,8 +112,8 @@
     ),
     st.integers(1, 4),
 )
-def test_never_more_than_slots_and_all_come_back(
-    plan: list[tuple[str, float, float]],
+def test_connections_never_exceed_slots_and_are_all_returned(
+    requests: list[tuple[str, float, float]],
     slots: int,
 ) -> None:
     async def main() -> None:
@@ -128,7 +128,7 @@
                 await queue.release(permit)
 
         async with curio.TaskGroup() as tasks:
-            for each in plan:
+            for each in requests:
                 await tasks.spawn(run, *each)
         assert (queue.held, queue.waiting) == (0, 0)
 
