--- a/deckdrum/backends/__init__.py
+++ b/deckdrum/backends/__init__.py
@@ -1,4 +1,4 @@
-"""Backend servers: what every protocol to them shares."""
+"""Backend servers: interfaces and connection pools for all protocols."""
 
 from deckdrum.backends.base import (
     Backend,
--- a/deckdrum/backends/base.py
+++ b/deckdrum/backends/base.py
@@ -1,12 +1,12 @@
-"""The border to backend servers that take typed operations.
+"""Interface to backend servers that run typed operations.
 
-The contract on which the replacement of a primary rests:
+Primary changes rely on the following guarantees of the servers:
 
-* A replica that holds at a term receives no log until it is released, is
-  promoted or restarts.
-* A primary that was told to step down takes no more changes.
-* A server that is promoted leads the term after the one that it followed,
-  with what it had received and nothing beyond it.
+* A replica that is fenced for a term receives no log until the fence is
+  released, or the replica is promoted or restarted.
+* A primary that was told to step down accepts no more changes.
+* A promoted server leads the term after the one that it followed, starting from
+  exactly the log that it had received.
 """
 
 from abc import ABC, abstractmethod
@@ -21,25 +21,25 @@
 
 
 class ConnectionLimitError(ConnectionError):
-    """The server has as many connections as it allows."""
+    """The server has reached its connection limit."""
 
 
 class NoFreeConnectionError(ConnectionLimitError):
-    """No connection is free, as this node or its peers know.
+    """No connection is free according to this node or its peers.
 
-    The server itself was not asked: this tells nothing of its state.
+    The server was not contacted, so the error says nothing about its state.
     """
 
 
 class WrongServerError(ConnectionError):
-    """Another server than the expected one answers at the address.
+    """The server at the address is not the expected one.
 
-    That may be a later life of it, which lacks what it had.
+    It may be a later incarnation, which lacks data of the earlier one.
     """
 
 
 class ServerRole(StrEnum):
-    """What a server does in its database group."""
+    """Role of a server in its database group."""
 
     PRIMARY = 'primary'
     REPLICA = 'replica'
@@ -47,27 +47,27 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendServer:
-    """One backend server, as the directory lists it.
+    """A backend server, as listed in the directory.
 
     Attributes
     ----------
     id : str
-        Unique for ever; a server that starts again may keep it.
+        Unique id, never reused for another server.  A server may keep it when
+        it restarts.
     service : str
-        The database group that it belongs to.
+        Database group of the server.
     address : Address
-        Where it listens.  Another server may use it later.
+        Address on which it listens; another server may use it later.
     data_centre : str
-        Where it runs.
+        Data centre in which it runs.
     is_draining : bool
-        Whether its end is planned: it gets no new work.
+        Whether it is about to be removed and gets no new work.
     role : ServerRole
-        Its role as it sees itself.  A primary that was cut off says
-        primary too, so this is a hint.
+        Role that the server reports.  Only a hint: a former primary that was
+        cut off also reports to be a primary.
     started_at : int
-        When it started, in Unix milliseconds; 0 if that is not known.  Another
-        start under the same id is another life, which holds and knows nothing
-        of the one before.
+        Start time in Unix milliseconds; 0 if unknown.  Each start under the
+        same id is a new incarnation, without data or state of the earlier ones.
     """
 
     id: str
@@ -79,7 +79,7 @@
     started_at: int = 0
 
     def is_same_incarnation_as(self, other: 'BackendServer') -> bool:
-        """Tell whether this is the same start of a server, as far as is known.
+        """Tell whether this may be the same incarnation of a server.
 
         Examples
         --------
@@ -98,18 +98,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerStatus:
-    """What a server says of itself when it is asked.
+    """Status that a server reports.
 
     Attributes
     ----------
     role : ServerRole
-        Its role.
+        Role of the server.
     term : int
         Term that it leads or follows.
     received : Position
         End of the log that it has received.
     held_term : int
-        Term for which it holds its log, or 0.
+        Term for which it is fenced; 0 if it is not.
     """
 
     role: ServerRole
@@ -120,16 +120,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One operation on its way to a server.
+    """An operation to be run by a server.
 
     Attributes
     ----------
     operation : Operation
-        What to run.  The name in an `Execute` is the connection's own.
+        Operation to run.  `Execute` contains the name that the prepared
+        statement has on the connection.
     request_id : str
-        The caller's id; empty for the product's own operations.
+        Id given by the caller; empty for internal operations.
     floor : Position or None
-        The server refuses if its log lacks this position.
+        Log position that the server must have, else it refuses.
     """
 
     operation: Operation
@@ -139,10 +140,10 @@
 
 @dataclass(slots=True)
 class LinkState:
-    """What a connection remembers on the server's side.
+    """State of the server's session on a connection.
 
     `values` are session values; `prepared` maps the effect and shape of a
-    statement to its name on this connection.
+    prepared statement to its name on this connection.
     """
 
     values: dict[str, str] = field(default_factory=dict)
@@ -150,25 +151,25 @@
 
 
 class BackendLink(PooledLink):
-    """One connection to a server.
+    """A connection to a server.
 
-    Every method raises `ConnectionError` once the connection is broken;
-    what was sent before may have run.
+    All methods raise `ConnectionError` once the connection is broken.  An
+    operation that was sent before may have run.
     """
 
-    #: The bytes below it.
+    #: Byte stream of the connection.
     stream: ByteStream
 
     def __init__(self) -> None:
         self.state = LinkState()
-        #: Returns the connection to the node that lent it, if one did.
+        #: Returns a borrowed connection to its lender.
         self.on_hand_back: Callable[[BackendLink], Awaitable[None]] | None
         self.on_hand_back = None
-        #: Where the server's log stood when it was opened, if it said so.
+        #: Position of the server's log at the time of opening, if known.
         self.opened_at: Position | None = None
 
     async def hand_back(self) -> None:
-        """Return a clean connection to its lender, or close it."""
+        """Return a borrowed connection to its lender, or close an own one."""
         if self.on_hand_back is None:
             await self.close()
         else:
@@ -176,36 +177,36 @@
 
     @abstractmethod
     async def run(self, call: Call) -> Answer | Rejection:
-        """Run one operation and return the whole answer."""
+        """Run an operation and return its complete answer."""
 
     @abstractmethod
     async def read_status(self) -> ServerStatus | Rejection:
-        """Ask the server about itself."""
+        """Request the status of the server."""
 
     @abstractmethod
     async def hold(self, term: int) -> ServerStatus | Rejection:
-        """Stop a replica from receiving, for a change to `term`."""
+        """Fence a replica for `term`, so that it receives no log."""
 
     @abstractmethod
     async def release_hold(self) -> ServerStatus | Rejection:
-        """Let a replica receive again."""
+        """Release the fence of a replica, so that it receives the log again."""
 
     @abstractmethod
     async def step_down(self, term: int) -> ServerStatus | Rejection:
-        """Turn a primary of a term below `term` into a replica."""
+        """Demote a primary of a term below `term` to a replica."""
 
     @abstractmethod
     async def reset(self) -> bool:
-        """Drop session values and prepared statements; tell whether done."""
+        """Discard session values and prepared statements; tell whether done."""
 
 
 class Backend(Connectable[BackendLink], ABC):
-    """One backend server that can be connected to.
+    """A backend server to which connections can be opened.
 
     Parameters
     ----------
     server : BackendServer
-        The server's entry in the directory.
+        Entry of the server in the directory.
     """
 
     def __init__(self, server: BackendServer) -> None:
@@ -218,4 +219,4 @@
 
     @abstractmethod
     def wrap(self, stream: ByteStream) -> BackendLink:
-        """Return the link over a connection that has been started."""
+        """Return a link over a connection that is already established."""
--- a/deckdrum/backends/pool.py
+++ b/deckdrum/backends/pool.py
@@ -1,4 +1,4 @@
-"""Pooled connections to one backend server."""
+"""Pools of connections to backend servers."""
 
 import math
 from abc import ABC, abstractmethod
@@ -12,24 +12,24 @@
 from deckdrum.members import FairQueue, GroupShare, Permit
 from deckdrum.outcomes import Refusal
 
-#: Longest wait for a new connection, in seconds.
-CONNECT_LIMIT: Final = 1.0
-#: Connections that a pool keeps open ahead of requests.
+#: Longest wait for a new connection.
+CONNECT_TIMEOUT_S: Final = 1.0
+#: Connections that a pool opens ahead of requests.
 WARM_CONNECTIONS: Final = 3
 
 
 @dataclass(slots=True)
 class ConnectionStats:
-    """What became of connections so far.
+    """Statistics of the connections of a pool.
 
     Attributes
     ----------
     opened : int
-        Opened, since none of the workspace was idle.
+        Connections opened because no suitable one was idle.
     reused : int
-        Found open.
+        Idle connections that were reused.
     closed_for_room : int
-        Idle ones that were closed for one of another workspace.
+        Idle connections that were closed to make room for another owner.
     """
 
     opened: int = 0
@@ -38,11 +38,11 @@
 
 
 class PooledLink(ABC):
-    """A connection that a pool can keep."""
+    """A connection that can be kept in a pool."""
 
-    #: Whether it may stay open in the pool while nobody uses it.
+    #: Whether it may stay open in the pool while idle.
     is_kept = True
-    #: Workspace whose statements it may run; empty for none.
+    #: Owner, the workspace whose statements it may run; empty for none.
     workspace = ''
 
     @property
@@ -52,10 +52,10 @@
 
     @abstractmethod
     async def close(self) -> None:
-        """Close the connection; a second call does nothing."""
+        """Close the connection; further calls have no effect."""
 
     async def hand_back(self) -> None:
-        """Part from a clean connection that this node does not keep."""
+        """Dispose of a clean connection that this pool does not keep."""
         await self.close()
 
 
@@ -63,30 +63,30 @@
 
 
 class Connectable(ABC, Generic[LinkT]):
-    """A server that a pool connects to."""
+    """A server to which a pool can open connections."""
 
     @abstractmethod
-    async def connect(self, limit: float) -> LinkT:
-        """Open a connection within `limit` seconds.
+    async def connect(self, timeout: float) -> LinkT:
+        """Open a connection within `timeout` seconds.
 
         Raises
         ------
         ConnectionError
-            If it cannot be had.
+            If the connection cannot be opened.
         """
 
     async def connect_for(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         workspace: str | None = None,
     ) -> LinkT:
         """Open a connection on behalf of a member group.
 
-        Only a workspace's own connections may run its statements; with None
-        it may be anybody's.
+        Only connections owned by a workspace may run its statements; with None
+        any owner will do.
         """
-        return await self.connect(limit)
+        return await self.connect(timeout)
 
 
 ServerT = TypeVar('ServerT', bound=Connectable[Any])
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, eq=False)
 class Lease(Generic[ServerT, LinkT]):
-    """A connection lent to one request or transaction."""
+    """A connection assigned to a request or transaction."""
 
     database: ServerT
     link: LinkT
@@ -102,16 +102,16 @@
 
 
 class Pool(Generic[ServerT, LinkT]):
-    """Connections to one server, shared fairly between member groups.
+    """Pool of connections to a server, shared fairly between member groups.
 
     Parameters
     ----------
     database : Connectable
-        Where to connect.
+        Server to connect to.
     slots : int
-        Most connections at a time.
+        Largest number of open connections.
     shares : mapping of str to GroupShare
-        The groups' shares.
+        Shares of the member groups.
     """
 
     def __init__(
@@ -128,40 +128,41 @@
 
     @property
     def idle(self) -> int:
-        """Open connections that nobody uses."""
+        """Number of idle connections."""
         return len(self._idle)
 
     @property
     def has_surplus(self) -> bool:
-        """Whether more connections are open than there are slots."""
+        """Whether more connections are open than the pool has slots."""
         return len(self._idle) + self.queue.held > self.queue.slots
 
     def has_idle(self, workspace: str) -> bool:
-        """Tell whether a connection of a workspace is open and unused."""
+        """Tell whether a connection owned by a workspace is idle."""
         return any(link.workspace == workspace for link in self._idle)
 
     async def acquire(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         fits: Callable[[LinkT], bool] | None = None,
         patience: float = math.inf,
         workspace: str | None = None,
     ) -> Lease[ServerT, LinkT] | Refusal:
-        """Lend a connection to a request of `group`.
+        """Assign a connection to a request of `group`.
 
         Parameters
         ----------
         group : str
-            The member group that asks.
-        limit : float
+            Member group of the request.
+        timeout : float
             Longest wait in the queue, in seconds.
         fits : callable, optional
-            Tells which idle connections suit the request best.
+            Tells whether an idle connection is preferred for the request.
         patience : float, optional
-            Longest wait after which the request can be in time, in seconds.
+            Longest wait with which the request can still meet its deadline,
+            in seconds.
         workspace : str, optional
-            Whose the connection must be; without it may be anybody's.
+            Owner that the connection must have; any owner if not given.
 
         Raises
         ------
@@ -170,14 +171,14 @@
         """
         permit = await self.queue.acquire(
             group,
-            limit,
+            timeout,
             patience,
             workspace or '',
         )
         if isinstance(permit, Refusal):
             return permit
         try:
-            link = await self._take_link(group, fits, workspace)
+            link = await self._get_link(group, fits, workspace)
         except (ConnectionError, curio.CancelledError):
             await self.queue.release(permit)
             raise
@@ -188,15 +189,15 @@
         lease: Lease[ServerT, LinkT],
         is_clean: bool,
     ) -> None:
-        """Take a connection back.
+        """Return a connection to the pool.
 
         Parameters
         ----------
         lease : Lease
-            What was lent.
+            Lease to end.
         is_clean : bool
             Whether the whole answer has arrived and no transaction is open.
-            Otherwise the connection is closed, never lent again.
+            Otherwise the connection is closed instead of being reused.
         """
         if not is_clean or not lease.link.is_usable:
             await lease.link.close()
@@ -207,32 +208,32 @@
         await self.queue.release(lease.permit)
 
     async def warm(self) -> None:
-        """Open connections ahead, so that a request need not wait for one.
+        """Open a connection ahead of requests if fewer than wanted are open.
 
-        One connection a call, so that many proxies that start together do
-        not storm a database.
+        Opens at most one connection per call, so that proxies that start at the
+        same time do not overload a database.
         """
-        in_use = len(self._idle) + self.queue.held
-        if in_use >= min(WARM_CONNECTIONS, self.queue.slots):
+        open_connections = len(self._idle) + self.queue.held
+        if open_connections >= min(WARM_CONNECTIONS, self.queue.slots):
             return
         try:
-            link = await self.database.connect(CONNECT_LIMIT)
+            link = await self.database.connect(CONNECT_TIMEOUT_S)
         except ConnectionError:
             return
         self.figures.opened += 1
         self._idle.append(link)
 
     async def trim(self) -> None:
-        """Close idle connections beyond the number of slots."""
+        """Close idle connections in excess of the number of slots."""
         while self._idle and self.has_surplus:
             await self._idle.pop(0).close()
 
     async def close_idle(self) -> None:
-        """Close the connections that nobody uses."""
+        """Close all idle connections."""
         while self._idle:
             await self._idle.pop().close()
 
-    async def _take_link(
+    async def _get_link(
         self,
         group: str,
         fits: Callable[[LinkT], bool] | None,
@@ -240,49 +241,49 @@
     ) -> LinkT:
         if workspace:
             self._rates.note(workspace)
-        link = self._pick_idle(fits, workspace)
+        link = self._pop_idle(fits, workspace)
         while link is not None:
             if link.is_usable:
                 self.figures.reused += 1
                 return link
             await link.close()
-            link = self._pick_idle(fits, workspace)
-        await self._make_room()
+            link = self._pop_idle(fits, workspace)
+        await self._evict_idle()
         self.figures.opened += 1
         opened: LinkT = await self.database.connect_for(
             group,
-            CONNECT_LIMIT,
+            CONNECT_TIMEOUT_S,
             workspace,
         )
         return opened
 
-    def _pick_idle(
+    def _pop_idle(
         self,
         fits: Callable[[LinkT], bool] | None,
         workspace: str | None,
     ) -> LinkT | None:
-        """Take the latest idle connection, of those that fit if any does."""
-        places = [
-            place
-            for place, link in enumerate(self._idle)
+        """Remove the latest idle connection, preferably one that fits."""
+        indexes = [
+            index
+            for index, link in enumerate(self._idle)
             if workspace is None or link.workspace == workspace
         ]
-        if not places:
+        if not indexes:
             return None
         best = max(
-            places,
-            key=lambda place: (
-                fits is not None and fits(self._idle[place]),
-                place,
+            indexes,
+            key=lambda index: (
+                fits is not None and fits(self._idle[index]),
+                index,
             ),
         )
         return self._idle.pop(best)
 
-    async def _make_room(self) -> None:
-        """Close what is least used in place of the one to be opened.
+    async def _evict_idle(self) -> None:
+        """Close idle connections of the least active owners.
 
-        So no more are open than are dealt to this pool, whatever workspaces
-        ask in turn.
+        This keeps the number of open connections within the slots of the pool,
+        regardless of the order in which workspaces send requests.
         """
         while self._idle and self.has_surplus:
             self.figures.closed_for_room += 1
--- a/deckdrum/backends/position_history.py
+++ b/deckdrum/backends/position_history.py
@@ -1,17 +1,19 @@
-"""Bounds for the age of replicas, from one clock."""
+"""History of primary log positions, to bound the age of replicas."""
 
 from bisect import bisect_left, bisect_right
 from collections import deque
 from typing import Final
 
-#: Primary positions kept.
-_HISTORY_ENTRIES: Final = 4096
-#: Least time between kept positions, in seconds.
-_HISTORY_STEP: Final = 0.01
+#: Recorded positions of the primary.
+_MAX_POSITIONS: Final = 4096
+#: Shortest time between recorded positions.
+_MIN_INTERVAL_S: Final = 0.01
 
 
 class History:
-    """Positions of the primary over time, to bound the age of replicas.
+    """Log positions of the primary over time.
+
+    All times are on one clock, so bounds of ages need no synchronized clocks.
 
     Examples
     --------
@@ -26,70 +28,71 @@
 
     def __init__(self) -> None:
         self._term = 0
-        self._offsets: deque[int] = deque(maxlen=_HISTORY_ENTRIES)
-        self._times: deque[float] = deque(maxlen=_HISTORY_ENTRIES)
+        self._offsets: deque[int] = deque(maxlen=_MAX_POSITIONS)
+        self._times: deque[float] = deque(maxlen=_MAX_POSITIONS)
 
     @property
     def term(self) -> int:
-        """Term of the noted positions."""
+        """Term of the recorded positions."""
         return self._term
 
     @property
     def latest(self) -> tuple[int, float]:
-        """The latest position and when it was asked for, in kernel seconds.
+        """The latest position, and when its probe was sent.
 
-        The time lies infinitely far back if there is none.
+        The time is negative infinity if there is no position.
         """
         if not self._times:
             return 0, float('-inf')
         return self._offsets[-1], self._times[-1]
 
     def note(self, term: int, offset: int, started_at: float) -> None:
-        """Remember a position that the primary of `term` had at a time.
+        """Record a position that the primary of `term` reported.
 
         Parameters
         ----------
         term, offset : int
             Term and log offset of the primary.
         started_at : float
-            When the probe was sent, in kernel seconds.  A majority must have
-            reported later that it still takes part in `term`; otherwise a
-            replaced primary would make its replicas look young.
+            When the probe was sent, on curio's clock.  A majority must have
+            reported later that it still takes part in `term`; otherwise the
+            age of replicas of a replaced primary would be underestimated.
         """
         if term != self._term:
             self._term = term
             self._offsets.clear()
             self._times.clear()
         if self._offsets and self._offsets[-1] == offset:
-            # Still the same position: a replica there is younger now.
+            # The primary has not moved, so the data at this position is still
+            # current at the later time.
             self._times[-1] = max(self._times[-1], started_at)
             return
         if self._offsets and self._offsets[-1] > offset:
-            # An answer that was overtaken by a later one.
+            # A later answer arrived first.
             return
-        if self._times and started_at - self._times[-1] < _HISTORY_STEP:
+        if self._times and started_at - self._times[-1] < _MIN_INTERVAL_S:
             return
         self._offsets.append(offset)
         self._times.append(started_at)
 
     def bound_age(self, offset: int, now: float) -> float:
-        """Return an upper bound of the age of data at `offset`, in seconds.
+        """Return an upper bound on the age of data at `offset`, in seconds.
 
         Notes
         -----
-        The bound uses one clock: the start of the last probe at which the
-        primary was at or below `offset`.
+        The bound is the time since the last probe was sent at which the primary
+        was at or below `offset`.
         """
-        place = bisect_right(self._offsets, offset)
-        if place == 0:
+        index = bisect_right(self._offsets, offset)
+        if index == 0:
             return float('inf')
-        return now - self._times[place - 1]
+        return now - self._times[index - 1]
 
     def find_last_seen_below(self, offset: int) -> float:
-        """Return when the primary was last seen below `offset`.
+        """Return the time at which the primary was last seen below `offset`.
 
-        What stands at `offset` was appended after that time, in kernel
-        seconds; it lies infinitely far back if the primary was not seen there.
+        The record at `offset` was appended after that time.  It is negative
+        infinity if the primary was not seen below `offset`.
 
         Examples
         --------
@@ -101,19 +104,19 @@
         >>> history.find_last_seen_below(offset=31)
         6.0
         """
-        place = bisect_left(self._offsets, offset)
-        return self._times[place - 1] if place else float('-inf')
+        index = bisect_left(self._offsets, offset)
+        return self._times[index - 1] if index else float('-inf')
 
     def find_floor(self, max_age: float, now: float) -> int | None:
         """Return the lowest offset that is at most `max_age` seconds old.
 
-        Data at that offset or beyond has every change that was answered
-        more than `max_age` seconds before `now`.
+        Data at or beyond that offset includes all changes acknowledged more
+        than `max_age` seconds before `now`.
 
         Returns
         -------
         int or None
-            None if the primary was not seen within `max_age` seconds.
+            None if the primary was not probed within `max_age` seconds.
 
         Examples
         --------
@@ -124,7 +127,7 @@
         10
         >>> history.find_floor(max_age=0.2, now=6.5)
         """
-        place = bisect_left(self._times, now - max_age)
-        if place == len(self._times):
+        index = bisect_left(self._times, now - max_age)
+        if index == len(self._times):
             return None
-        return self._offsets[place]
+        return self._offsets[index]
--- a/deckdrum/backends/tests/test_history.py
+++ b/deckdrum/backends/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The bound of a replica's age, against the truth."""
+"""Bounds on the age of replicas are compared with the true age."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -15,33 +15,33 @@
     ),
     st.integers(0, 100),
 )
-def test_the_bound_is_never_too_young(
+def test_age_is_never_underestimated(
     steps: list[tuple[float, int]],
     offset: int,
 ) -> None:
     history = History()
     now: float = 0
-    place = 0
+    position = 0
     first_beyond: float | None = None
     for seconds, grown in steps:
         now += seconds
-        place += grown
-        history.note(1, place, now)
-        if place > offset and first_beyond is None:
+        position += grown
+        history.note(1, position, now)
+        if position > offset and first_beyond is None:
             first_beyond = now
-    # A replica at `offset` lacks what came at `first_beyond` or later.
+    # A replica at `offset` lacks all changes from `first_beyond` on.
     true_age = 0 if first_beyond is None else now - first_beyond
     assert history.bound_age(offset, now) >= true_age
 
 
-def test_a_new_term_forgets_the_old() -> None:
+def test_positions_of_an_older_term_are_discarded() -> None:
     history = History()
     history.note(1, 100, 1)
     history.note(2, 101, 2)
     assert history.bound_age(100, 3) == float('inf')
 
 
-def test_place_in_the_log_is_younger_than_the_last_look_below_it() -> None:
+def test_offset_was_appended_after_the_primary_was_last_seen_below() -> None:
     history = History()
     history.note(1, 10, 5.0)
     history.note(1, 10, 8.0)
--- a/deckdrum/backends/tests/test_pool.py
+++ b/deckdrum/backends/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections of workspaces in one pool."""
+"""Pools that hold connections of several workspaces."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -16,23 +16,23 @@
 SLOTS = 2
 
 
-def _play(scenario: Callable[[CountedPool], Awaitable[Any]]) -> None:
+def _run(scenario: Callable[[CountedPool], Awaitable[Any]]) -> None:
     run_virtual(scenario, build_pool(SLOTS))
 
 
-async def _take(pool: CountedPool, workspace: str | None) -> CountedLease:
+async def _acquire(pool: CountedPool, workspace: str | None) -> CountedLease:
     lease = await pool.acquire('db', 1, workspace=workspace)
     assert not isinstance(lease, Refusal)
     return lease
 
 
 async def _use(pool: CountedPool, workspace: str | None) -> CountedLink:
-    lease = await _take(pool, workspace)
+    lease = await _acquire(pool, workspace)
     await pool.release(lease, is_clean=True)
     return lease.link
 
 
-def test_connection_of_another_workspace_is_never_lent() -> None:
+def test_connection_of_another_workspace_is_never_assigned() -> None:
     async def scenario(pool: CountedPool) -> None:
         first = await _use(pool, 'growers')
         second = await _use(pool, 'shoppers')
@@ -41,21 +41,21 @@
         assert await _use(pool, 'shoppers') is second
         assert pool.figures == ConnectionStats(opened=2, reused=2)
 
-    _play(scenario)
+    _run(scenario)
 
 
-def test_no_more_are_open_than_slots_whatever_workspaces_ask() -> None:
+def test_open_connections_never_exceed_the_slots() -> None:
     async def scenario(pool: CountedPool) -> None:
         for turn in range(20):
-            held = await _take(pool, f'w{turn}')
+            held = await _acquire(pool, f'w{turn}')
             await _use(pool, f'w{turn * 7 % 5}')
             await pool.release(held, is_clean=True)
             assert len(pool.database.open) <= SLOTS
 
-    _play(scenario)
+    _run(scenario)
 
 
-def test_least_used_is_closed_to_make_room() -> None:
+def test_connection_of_the_least_active_owner_is_evicted() -> None:
     async def scenario(pool: CountedPool) -> None:
         await _use(pool, 'growers')
         await _use(pool, 'shoppers')
@@ -64,13 +64,13 @@
         assert pool.database.open == ['growers', 'stewards']
         assert pool.figures.closed_for_room == 1
 
-    _play(scenario)
+    _run(scenario)
 
 
-def test_own_question_takes_any_idle_connection() -> None:
+def test_request_without_workspace_gets_any_idle_connection() -> None:
     async def scenario(pool: CountedPool) -> None:
         first = await _use(pool, 'growers')
         assert await _use(pool, None) is first
         assert pool.figures.opened == 1
 
-    _play(scenario)
+    _run(scenario)
--- a/deckdrum/fleet/__init__.py
+++ b/deckdrum/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Proxies and nodes among one another: messages, channels, membership."""
+"""Communication between proxies and nodes: messages, channels, membership."""
--- a/deckdrum/fleet/base.py
+++ b/deckdrum/fleet/base.py
@@ -1,12 +1,11 @@
-"""The base of the messages between nodes."""
+"""Base class of the messages between nodes."""
 
 from msgspec import Struct
 
 
 class Message(Struct, frozen=True):
-    """Base of the messages.
+    """Base class of all messages.
 
-    A struct and no data class: each node defines some thirty of them while it
-    starts, and a data class takes forty times as long to define (1.3 ms against
-    0.03, mean of 20).
+    Messages are structs rather than data classes because struct classes are
+    much faster to define, which shortens the start of a process.
     """
--- a/deckdrum/fleet/borrowing.py
+++ b/deckdrum/fleet/borrowing.py
@@ -1,4 +1,4 @@
-"""Borrowing connections to servers from the nodes that hold them."""
+"""Borrowing connections to backend servers from the nodes that hold them."""
 
 from collections.abc import Callable, Mapping, Sequence
 from functools import partial
@@ -29,39 +29,42 @@
 from deckdrum.utils import ByteStream
 from deckdrum.utils.ranks import weigh
 
-#: Longest wait for a lender's answer beyond the wait that it is asked to
-#: bear, in seconds.
+#: Time allowed for a lender's answer in addition to the wait in its queue.
 LENDER_REPLY_MARGIN_S: Final = 0.15
-#: Longest wait of a request for the free connection of the last lender that is
-#: asked, in seconds; then another server is tried.
+#: Longest wait in the queue of the last lender asked, before another server is
+#: tried.
 LENDER_QUEUE_TIMEOUT_S: Final = 0.25
-#: Pause after the server has refused a connection for want of room, in s.
-#: Connections of a node that lost power linger for 3 s.
+#: Delay before a server that reached its connection limit is tried again.
+#: Connections of a node that lost power count against the limit for 3 s.
 SERVER_FULL_BACKOFF_S: Final = 0.25
-#: Begins the name of a group that borrows, in the lender's queue.
+#: Prefix of the group names of borrowers in a lender's queue.
 LOAN_PREFIX: Final = 'loan:'
-#: Lenders asked for one connection.
+#: Lenders asked for a connection.
 MAX_LENDERS_ASKED: Final = 3
 
-#: Weight of the latest connection in the usual time of one.
-_LEARN_RATE: Final = 0.2
+#: Weight of the latest sample in the moving average of the connect time.
+_LATEST_SAMPLE_FRACTION: Final = 0.2
 
 Prepared = dict[tuple[str, str], str]
 
 
 def rank_lender(own: Member, lender: Member) -> tuple[bool, bytes]:
-    """Return a lender's place for a node: the nearest first, then spread."""
-    is_far = lender.data_centre != own.data_centre
-    return is_far, weigh(own.name, lender.name)
+    """Return the sort key of a lender for a node.
+
+    Lenders in the same data centre come first.  Within a data centre, each
+    node has a pseudorandom order of its own, which spreads the load.
+    """
+    is_remote = lender.data_centre != own.data_centre
+    return is_remote, weigh(own.name, lender.name)
 
 
 class BorrowedStream(ByteStream):
-    """Bytes of a borrowed connection, carried by its lender.
+    """Byte stream of a borrowed connection, relayed by its lender.
 
     Parameters
     ----------
     channel : StreamChannel
-        To the lender.
+        Channel to the lender.
     """
 
     def __init__(self, channel: StreamChannel) -> None:
@@ -69,7 +72,7 @@
         self._is_closed = False
 
     def is_quiet(self) -> bool:
-        """Tell whether the stream is open and has nothing to receive."""
+        """Tell whether the stream is open and nothing unread has arrived."""
         return not self._is_closed and self.channel.is_usable
 
     async def receive(self) -> bytes:
@@ -85,89 +88,95 @@
     async def send(self, payload: bytes) -> None:
         """Send all of `payload`."""
         if self._is_closed:
-            raise ConnectionResetError('the connection was given back')
+            raise ConnectionResetError(
+                'the borrowed connection has been returned'
+            )
         await self.channel.send(Carried(payload))
 
     async def close(self) -> None:
-        """Close the stream: the lender closes the connection."""
+        """Close the stream, so that the lender closes the connection."""
         if not self._is_closed:
             self._is_closed = True
             await self.channel.close()
 
     def detach(self) -> None:
-        """End the use of the channel without closing it."""
+        """Stop using the channel without closing it."""
         self._is_closed = True
 
 
 class DirectBackend(Backend):
-    """A server as this node connects to it by itself.
+    """A server that this node connects to directly.
 
     Parameters
     ----------
     direct : Backend
-        Connects to the server.
+        Opens connections to the server.
     """
 
     def __init__(self, direct: Backend) -> None:
         super().__init__(direct.server)
         self._direct = direct
-        #: Until when the server is not asked for more connections.
+        #: Until when no connections are requested because the server is full.
         self.full_until = float('-inf')
-        #: Usual time until a new connection can be used, in seconds.
+        #: Moving average of the time to open a connection, in seconds.
         self.mean_connect_time: float = 0
-        #: Tells whether the server's log holds something while it lives.
+        #: Tells whether the log of this incarnation is known not to be empty.
         self.is_log_known_nonempty: Callable[[], bool] = bool
 
-    async def connect(self, limit: float) -> BackendLink:
-        """Open a connection, unless the server has just been found full."""
-        return await self.connect_for('', limit)
+    async def connect(self, timeout: float) -> BackendLink:
+        """Open a connection, unless the server was full a moment ago."""
+        return await self.connect_for('', timeout)
 
     async def connect_for(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         workspace: str | None = None,
     ) -> BackendLink:
-        """Open one of a workspace, unless the server was just found full."""
+        """Open a connection for an owner, unless the server was just full."""
         now = await curio.clock()
         if now < self.full_until:
-            raise NoFreeConnectionError(f'{self.name} was full a moment ago')
+            raise NoFreeConnectionError(
+                f'{self.name} reached its connection limit a moment ago'
+            )
         self._direct.server = self.server
         has_log = self.is_log_known_nonempty()
         try:
-            link = await self._direct.connect_for(group, limit, workspace)
+            link = await self._direct.connect_for(group, timeout, workspace)
         except ConnectionLimitError:
             self.full_until = now + SERVER_FULL_BACKOFF_S
             raise
         if has_log and link.opened_at and not link.opened_at.offset:
-            # It has started again, and the directory does not say so yet:
-            # what it answered would be of an empty log.  One that still
-            # applies what it has received stands behind, not at nothing.
+            # The server has restarted with an empty log, and the directory
+            # does not list the new incarnation yet.  A server that is only
+            # behind in applying its log reports an offset above 0.
             await link.close()
             raise WrongServerError(f'the log of {self.name} is empty')
-        taken = await curio.clock() - now
-        self.mean_connect_time += (taken - self.mean_connect_time) * _LEARN_RATE
+        elapsed = await curio.clock() - now
+        self.mean_connect_time += (
+            elapsed - self.mean_connect_time
+        ) * _LATEST_SAMPLE_FRACTION
         return link
 
     def wrap(self, stream: ByteStream) -> BackendLink:
-        """Return the link over a connection that has been started."""
+        """Return a link over a connection that is already established."""
         return self._direct.wrap(stream)
 
 
 class BorrowingBackend(Backend):
-    """A server as it is reached over connections of other nodes.
+    """A server that is reached over connections of other nodes.
 
-    Only if none of these answers, this node connects by itself, within the
-    connections that the deal keeps in reserve.
+    If no lender answers, this node connects directly, using the connections
+    that the allocation keeps in reserve.
 
     Parameters
     ----------
-    own : OwnBackend
-        Connects to the server.
+    own : DirectBackend
+        Connects to the server directly.
     streams : StreamPool
-        Streams to other nodes.
+        Streams to the lenders.
     health : PeerHealth
-        Which of them do not answer.
+        Tells which lenders are unresponsive.
     """
 
     def __init__(
@@ -180,28 +189,30 @@
         self._own = own
         self._streams = streams
         self._health = health
-        #: Nodes to borrow from, the nearest first.
+        #: Nodes to borrow from, nearest first.
         self.lenders: list[Member] = []
 
-    async def connect(self, limit: float) -> BackendLink:
-        """Borrow a connection within `limit` seconds."""
-        return await self.connect_for('', limit)
+    async def connect(self, timeout: float) -> BackendLink:
+        """Borrow a connection within `timeout` seconds."""
+        return await self.connect_for('', timeout)
 
     async def connect_for(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         workspace: str | None = None,
     ) -> BackendLink:
-        """Borrow a connection of a workspace for a member group."""
-        is_answered = False
+        """Borrow a connection with an owner on behalf of a member group."""
+        has_answer = False
         asked = self._pick_lenders()
         for lender in asked:
-            # The last one may let the request wait for its turn.
+            # Only the last lender may queue the request.
             wait = (
-                min(limit, LENDER_QUEUE_TIMEOUT_S) if lender is asked[-1] else 0
+                min(timeout, LENDER_QUEUE_TIMEOUT_S)
+                if lender is asked[-1]
+                else 0
             )
-            question = BorrowLink(
+            request = BorrowLink(
                 self.server.service,
                 self.server.id,
                 group,
@@ -209,51 +220,53 @@
                 {},
                 workspace,
             )
-            answer = await self._borrow(lender, question)
+            answer = await self._borrow(lender, request)
             if isinstance(answer, BackendLink):
                 return answer
-            is_answered = is_answered or answer is not None
-        if is_answered:
-            # A connection beyond the deal would only load the server more.
-            raise NoFreeConnectionError(f'{self.name}: the lenders have none')
-        link = await self._own.connect_for(group, limit, workspace)
+            has_answer = has_answer or answer is not None
+        if has_answer:
+            # A connection beyond the allocation would overload the server.
+            raise NoFreeConnectionError(
+                f'{self.name}: no lender has a free connection'
+            )
+        link = await self._own.connect_for(group, timeout, workspace)
         link.is_kept = False
         return link
 
     def wrap(self, stream: ByteStream) -> BackendLink:
-        """Return the link over a connection that has been started."""
+        """Return a link over a connection that is already established."""
         return self._own.wrap(stream)
 
     def _pick_lenders(self) -> list[Member]:
-        """Return the lenders to ask, the best first."""
-        ready = [
+        """Return the lenders to ask, in order of preference."""
+        responsive = [
             lender
             for lender in self.lenders
             if not self._health.is_silent(lender.name)
         ]
-        return ready[:MAX_LENDERS_ASKED]
+        return responsive[:MAX_LENDERS_ASKED]
 
     async def _borrow(
         self,
         lender: Member,
-        question: BorrowLink,
+        request: BorrowLink,
     ) -> BackendLink | LinkLent | None:
         """Borrow from one node.
 
         Returns
         -------
         BackendLink, LinkLent or None
-            The lender's refusal if it lends nothing; None if it does not
-            answer, or holds no connections.
+            The lender's refusal if it has no free connection; None if it
+            does not answer or holds no connections.
         """
         try:
             async with curio.timeout_after(
-                question.limit + LENDER_REPLY_MARGIN_S
+                request.limit + LENDER_REPLY_MARGIN_S
             ):
                 channel = await self._streams.open(lender.endpoint)
-                answer = await _ask(channel, question)
+                answer = await _request_loan(channel, request)
         except (ConnectionError, curio.TaskTimeout) as error:
-            # Another lender is asked; this one is left alone for a while.
+            # Not asked again until it answers heartbeats.
             await self._health.note_failure(lender, error)
             return None
         if not answer.is_lent:
@@ -261,29 +274,35 @@
             return answer if answer.is_full else None
         link = self._own.wrap(BorrowedStream(channel))
         link.state = decode_state(answer.values, answer.prepared)
-        link.workspace = question.workspace or ''
+        link.workspace = request.workspace or ''
         link.is_kept = False
-        link.on_hand_back = partial(_hand_back, self._streams, lender)
+        link.on_hand_back = partial(_return_to_lender, self._streams, lender)
         return link
 
 
-async def _ask(channel: StreamChannel, question: BorrowLink) -> LinkLent:
-    answer = await channel.ask(question)
+async def _request_loan(
+    channel: StreamChannel, request: BorrowLink
+) -> LinkLent:
+    answer = await channel.ask(request)
     if isinstance(answer, LinkLent):
         return answer
     await channel.close()
-    raise ConnectionAbortedError(f'{type(answer).__name__} to a borrower')
+    raise ConnectionAbortedError(
+        f'unexpected {type(answer).__name__} from a lender'
+    )
 
 
-async def _hand_back(
+async def _return_to_lender(
     streams: StreamPool,
     lender: Member,
     link: BackendLink,
 ) -> None:
-    """Give a connection back to its lender."""
+    """Return a connection to its lender."""
     stream = link.stream
     if not isinstance(stream, BorrowedStream):
-        raise BrokenInvariantError('this connection was not borrowed')
+        raise BrokenInvariantError(
+            'a connection that was not borrowed cannot be returned'
+        )
     stream.detach()
     returned = ReturnLink(link.state.values, encode_prepared(link.state))
     try:
@@ -292,7 +311,7 @@
         await stream.channel.close()
         return
     await curio.spawn(
-        _await_return,
+        _wait_for_confirmation,
         streams,
         lender,
         stream.channel,
@@ -300,12 +319,12 @@
     )
 
 
-async def _await_return(
+async def _wait_for_confirmation(
     streams: StreamPool,
     lender: Member,
     channel: StreamChannel,
 ) -> None:
-    """Keep the stream for the next loan once the lender is done with it."""
+    """Put the stream back into the pool once the lender has confirmed."""
     try:
         async with curio.timeout_after(LENDER_QUEUE_TIMEOUT_S):
             answer = await channel.receive()
@@ -319,7 +338,7 @@
 
 
 def encode_prepared(state: LinkState) -> list[list[str]]:
-    """Return prepared statements as they stand in messages."""
+    """Encode prepared statements for a message."""
     return [[*key, name] for key, name in state.prepared.items()]
 
 
@@ -327,7 +346,7 @@
     values: Mapping[str, str],
     prepared: Sequence[Sequence[str]],
 ) -> LinkState:
-    """Return the state of a connection from a message."""
+    """Decode the state of a connection from a message."""
     names: Prepared = {
         (effect, shape): name for effect, shape, name in prepared
     }
--- a/deckdrum/fleet/channels.py
+++ b/deckdrum/fleet/channels.py
@@ -1,8 +1,7 @@
 """Channels between a caller's proxy and the keeper of a service.
 
-Each active request has a channel of its own: one TCP stream, or a pair of
-queues when the keeper is the same process.  TCP's flow control is the
-channel's flow control; no second one is needed.
+Each active request has a channel of its own: a TCP stream, or a pair of queues
+if the keeper is in the same process.  Channels rely on the flow control of TCP.
 """
 
 from abc import ABC, abstractmethod
@@ -21,20 +20,19 @@
 )
 from deckdrum.utils import Stream
 
-#: Messages that a local channel holds before its sender waits.
-_LOCAL_DEPTH: Final = 8
+#: Messages queued in a local channel before its sender has to wait.
+_MAX_QUEUED_MESSAGES: Final = 8
 
 
 class Channel(ABC):
-    """A two-way sequence of messages.
+    """A bidirectional sequence of messages.
 
-    Both methods that move messages raise `ConnectionError` once the other
-    end is gone.
+    `send` and `receive` raise `ConnectionError` once the other end has closed.
     """
 
     @abstractmethod
     async def send(self, message: Message) -> None:
-        """Send a message; waits while the other end is slow."""
+        """Send a message; wait while the other end cannot take more."""
 
     @abstractmethod
     async def receive(self) -> Message:
@@ -51,7 +49,7 @@
     Parameters
     ----------
     stream : Stream
-        The open connection.
+        An open connection.
     """
 
     def __init__(self, stream: Stream) -> None:
@@ -78,15 +76,15 @@
                 raise ConnectionResetError('the peer closed the channel')
             self._feed(chunk)
 
-    async def ask(self, question: Message) -> Message:
-        """Send a question and return the answer.
+    async def ask(self, request: Message) -> Message:
+        """Send a request and return the answer.
 
-        Whatever keeps the answer away also closes the stream: a later
-        question on it would get the earlier answer.
+        The stream is closed if no answer is received, since a later request
+        would otherwise get the answer to this one.
         """
         is_answered = False
         try:
-            await self.send(question)
+            await self.send(request)
             answer = await self.receive()
             is_answered = True
         finally:
@@ -102,7 +100,9 @@
         try:
             self._unpacker.feed(chunk)
         except msgpack.BufferFull as error:
-            raise MessageError('a message is too large') from error
+            raise MessageError(
+                f'a message is larger than {MAX_MESSAGE_BYTES} bytes'
+            ) from error
 
     def _unpack(self) -> Any:
         try:
@@ -110,11 +110,13 @@
         except msgpack.OutOfData:
             return None
         except (ValueError, msgpack.UnpackException) as error:
-            raise MessageError('the peer sent no MessagePack') from error
+            raise MessageError(
+                'the peer sent invalid MessagePack data'
+            ) from error
 
 
-class _Inbox:
-    """Messages on their way to one end of a local channel."""
+class _MessageQueue:
+    """Queue of the messages to one end of a local channel."""
 
     def __init__(self) -> None:
         self.messages: deque[Message] = deque()
@@ -123,7 +125,9 @@
 
     async def put(self, message: Message) -> None:
         async with self.changed:
-            while len(self.messages) >= _LOCAL_DEPTH and not self.closed:
+            while (
+                len(self.messages) >= _MAX_QUEUED_MESSAGES and not self.closed
+            ):
                 await self.changed.wait()
             if self.closed:
                 raise ConnectionResetError('the channel is closed')
@@ -147,16 +151,16 @@
 
 
 class LocalChannel(Channel):
-    """One end of a channel inside a process; see `open_pair`."""
+    """One end of a channel within a process; see `open_pair`."""
 
-    def __init__(self, inbox: _Inbox, outbox: _Inbox) -> None:
+    def __init__(self, inbox: _MessageQueue, outbox: _MessageQueue) -> None:
         self._inbox = inbox
         self._outbox = outbox
 
     @classmethod
     def open_pair(cls) -> tuple['LocalChannel', 'LocalChannel']:
         """Return the two ends of a new channel."""
-        first, second = _Inbox(), _Inbox()
+        first, second = _MessageQueue(), _MessageQueue()
         return cls(first, second), cls(second, first)
 
     async def send(self, message: Message) -> None:
--- a/deckdrum/fleet/detours.py
+++ b/deckdrum/fleet/detours.py
@@ -1,8 +1,8 @@
-"""Reaching a backend server through another node.
+"""Detours: connections to a backend server through another node.
 
-A node that is cut off from a server, while others are not, connects through
-one of them.  That node passes bytes on and reads none of them: every decision
-stays with the node that serves the caller.
+A node that cannot reach a server connects through a peer that can.  The peer
+relays bytes without interpreting them, so all decisions stay with the node that
+serves the caller.
 """
 
 from collections.abc import Awaitable, Callable
@@ -17,78 +17,80 @@
 from deckdrum.utils import Address, Journal, Stream, dial
 
 Dial = Callable[[Address, float], Awaitable[Stream]]
-#: Detours that a node carries for others at a time; each is one connection to
-#: a server out of the share of the node that asked for it.
+#: Detours that a node relays at a time.  Each uses one connection out of the
+#: allocation of the node that requested it.
 MAX_DETOURS: Final = 64
-#: Longest wait for the server when a peer asks, in seconds.
-DIAL_LIMIT: Final = 0.3
+#: Longest wait for a connection to the server on behalf of a peer.
+DIAL_TIMEOUT_S: Final = 0.3
 
 
 class DetourDialer:
-    """Connects to servers, through peers where there is a detour.
+    """Connects to servers, directly or through a detour.
 
     Parameters
     ----------
-    dial_straight : callable
-        Connects to an address within a limit in seconds.
+    dial_direct : callable
+        Opens a direct connection to an address within a timeout in seconds.
     """
 
     def __init__(self, dial_direct: Dial = dial) -> None:
-        #: Peers by the id of the server that is reached through them.
+        #: Addresses of the relaying peers by server id.
         self.detours: dict[str, Address] = {}
         self.dial_direct = dial_direct
 
-    async def dial(self, server: BackendServer, limit: float) -> Stream:
+    async def dial(self, server: BackendServer, timeout: float) -> Stream:
         """Open a connection to a server.
 
         Raises
         ------
         ConnectionError
-            If it cannot be had in time.
+            If it cannot be opened within `timeout` seconds.
         """
         peer = self.detours.get(server.id)
         if peer is None:
-            return await self.dial_direct(server.address, limit)
-        return await open_detour(peer, server.id, limit)
+            return await self.dial_direct(server.address, timeout)
+        return await open_detour(peer, server.id, timeout)
 
 
-async def open_detour(peer: Address, server: str, limit: float) -> Stream:
+async def open_detour(peer: Address, server: str, timeout: float) -> Stream:
     """Open a connection to a server through a peer.
 
     Raises
     ------
     ConnectionError
-        If the peer or the server does not answer in time.
+        If the peer or the server does not answer within `timeout` seconds.
     """
-    stream = await dial(peer, limit)
+    stream = await dial(peer, timeout)
     channel = StreamChannel(stream)
     try:
-        async with curio.timeout_after(limit):
+        async with curio.timeout_after(timeout):
             await channel.send(OpenDetour(server))
             answer = await channel.receive()
     except curio.TaskTimeout as error:
         await stream.close()
-        raise ConnectionAbortedError(f'{peer} opens no detour') from error
+        raise ConnectionAbortedError(
+            f'{peer} did not answer a detour request in time'
+        ) from error
     except (ConnectionError, curio.CancelledError):
         await stream.close()
         raise
     if not isinstance(answer, DetourOpened) or not answer.is_open:
         await stream.close()
-        raise ConnectionAbortedError(f'{peer} does not reach {server}')
+        raise ConnectionAbortedError(f'{peer} cannot open a detour to {server}')
     return stream
 
 
 class DetourRelay:
-    """Passes other nodes' bytes on to servers.
+    """Relays bytes between other nodes and servers.
 
     Parameters
     ----------
     view : ControlView
-        Only servers in the directory are connected to.
+        Directory of the servers that may be connected to.
     dialer : DetourDialer
-        Connects to them.
+        Connects to the servers.
     journal : Journal
-        For each detour that is opened.
+        Logs each detour that is opened or refused.
     """
 
     def __init__(
@@ -97,23 +99,23 @@
         dialer: DetourDialer,
         journal: Journal,
     ) -> None:
-        #: Detours that are open.
+        #: Number of open detours.
         self.open = 0
         self._view = view
         self._dialer = dialer
         self._journal = journal
 
-    async def carry(self, stream: Stream, question: OpenDetour) -> None:
-        """Answer a peer that asks for a detour, and carry it to its end."""
+    async def handle_request(self, stream: Stream, request: OpenDetour) -> None:
+        """Answer a detour request, and relay bytes until the detour closes."""
         channel = StreamChannel(stream)
-        server = self._view.servers.get(question.server)
+        server = self._view.servers.get(request.server)
         if server is None or self.open >= MAX_DETOURS:
             await channel.send(DetourOpened(is_open=False))
             return
         try:
-            far = await self._dialer.dial_direct(
+            upstream = await self._dialer.dial_direct(
                 server.address,
-                DIAL_LIMIT,
+                DIAL_TIMEOUT_S,
             )
         except ConnectionError as error:
             self._journal.record_often(
@@ -125,23 +127,23 @@
         self.open += 1
         try:
             await channel.send(DetourOpened(is_open=True))
-            await _join(stream, far)
+            await _relay(stream, upstream)
         finally:
             self.open -= 1
-            await far.close()
+            await upstream.close()
 
 
-async def _join(near: Stream, far: Stream) -> None:
-    """Pass bytes both ways until one end closes."""
-    async with curio.TaskGroup(wait=any) as carrying:
-        await carrying.spawn(_pass_on, near, far)
-        await carrying.spawn(_pass_on, far, near)
+async def _relay(downstream: Stream, upstream: Stream) -> None:
+    """Relay bytes in both directions until one end closes."""
+    async with curio.TaskGroup(wait=any) as copying:
+        await copying.spawn(_copy, downstream, upstream)
+        await copying.spawn(_copy, upstream, downstream)
 
 
-async def _pass_on(source: Stream, target: Stream) -> None:
+async def _copy(source: Stream, target: Stream) -> None:
     while chunk := await source.receive():
         try:
             await target.send(chunk)
         except ConnectionError:
-            # The other direction sees the same end.
+            # The task that reads from this end notices that it has closed.
             return
--- a/deckdrum/fleet/limits.py
+++ b/deckdrum/fleet/limits.py
@@ -1,4 +1,4 @@
-"""Questions between nodes about the limits of workspaces."""
+"""Messages between nodes about the operation limits of workspaces."""
 
 from enum import StrEnum
 
@@ -6,18 +6,18 @@
 
 
 class LimitRole(StrEnum):
-    """What a node is to the one that asks it about a limit."""
+    """Role in which a node is asked to count an operation."""
 
-    #: It keeps the limit.
+    #: It coordinates the limit.
     KEEPER = 'keeper'
-    #: It stands in for a keeper that counts no more.
+    #: It replaces a coordinator that no longer counts.
     SUCCESSOR = 'successor'
-    #: It stands in for one that may count on for other nodes.
+    #: It stands in for a coordinator that may still count for other nodes.
     DEPUTY = 'deputy'
 
 
 class AskLimit(Message, frozen=True):
-    """Ask a peer whether a workspace may begin one more operation.
+    """Asks a peer whether a workspace may begin another operation.
 
     `asked_as` is a value of `LimitRole`.
     """
@@ -27,9 +27,10 @@
 
 
 class LimitAnswer(Message, frozen=True):
-    """Whether the peer counts for the workspace, and when one may begin.
+    """Tells whether the peer counts for the workspace, and the delay.
 
-    `wait` is in seconds; 0 if the operation may begin now, and is counted.
+    `wait` is the time until an operation may begin, in seconds.  If it is 0,
+    the operation has been counted and may begin now.
     """
 
     is_kept: bool
--- a/deckdrum/fleet/membership.py
+++ b/deckdrum/fleet/membership.py
@@ -1,8 +1,8 @@
-"""Who is in the fleet, and who should keep which service.
+"""Members of the fleet, and the choice of the keeper of each service.
 
-The keeper is chosen by rendezvous hashing over the platform's lagging list.
-Lists may differ between proxies; nothing but the sharing of connections
-depends on their being equal.
+Keepers are chosen by rendezvous hashing over the platform's list of instances,
+which is eventually consistent.  Proxies may temporarily see different lists;
+this only makes the sharing of connections less efficient.
 """
 
 import hashlib
@@ -13,12 +13,12 @@
 from deckdrum.store.records import Instance, InstanceState
 
 _DIGEST_BYTES: Final = 8
-#: How long a keeper that failed is passed over, in seconds.
+#: How long a proxy that failed is ranked last as a keeper.
 SUSPICION_LIFETIME_S: Final = 5.0
 
 
 def rank_keepers(service: str, names: Iterable[str]) -> list[str]:
-    """Return names in the order in which they should keep a service.
+    """Return names ordered by preference as the keeper of a service.
 
     Examples
     --------
@@ -29,17 +29,19 @@
     >>> rank_keepers('stalls', left) == first[1:]
     True
     """
-    return sorted(names, key=lambda name: _weigh(service, name), reverse=True)
+    return sorted(
+        names, key=lambda name: _compute_weight(service, name), reverse=True
+    )
 
 
-def _weigh(service: str, name: str) -> bytes:
+def _compute_weight(service: str, name: str) -> bytes:
     text = f'{service}/{name}'.encode()
     return hashlib.blake2b(text, digest_size=_DIGEST_BYTES).digest()
 
 
 @dataclass(slots=True)
 class Membership:
-    """The proxies that this proxy believes in.
+    """The members of the fleet as known to this proxy.
 
     Parameters
     ----------
@@ -55,16 +57,16 @@
 
     @property
     def proxies(self) -> Mapping[str, Instance]:
-        """The listed proxies by name, this one included."""
+        """The listed proxies by name, including this one."""
         return self._proxies | {self.own.name: self.own}
 
     @property
     def leaving_databases(self) -> frozenset[str]:
-        """Names of listed databases that are about to leave."""
+        """Names of the listed databases that are leaving."""
         return self._leaving_databases
 
     def adopt(self, instances: Iterable[Instance]) -> None:
-        """Take over the platform's list."""
+        """Apply the platform's list of instances."""
         listed = list(instances)
         self._proxies = {
             each.name: each for each in listed if each.kind == 'proxy'
@@ -76,14 +78,14 @@
         )
 
     def suspect(self, name: str, now: float) -> None:
-        """Pass a proxy over for a while."""
+        """Temporarily rank a proxy last as a keeper."""
         self._suspected_until[name] = now + SUSPICION_LIFETIME_S
 
     def list_keepers(self, service: str, now: float) -> list[Instance]:
-        """Return candidates to keep a service; the best first.
+        """Return the candidates to keep a service, best first.
 
-        Suspected proxies come last: if all are suspected, asking is better
-        than refusing.
+        Suspected proxies come last.  They are not left out, so that there is a
+        candidate even if all are suspected.
         """
         known = {
             name: each
@@ -92,11 +94,11 @@
         }
         ranked = rank_keepers(service, known)
         trusted = [name for name in ranked if not self._is_suspect(name, now)]
-        doubted = [name for name in ranked if self._is_suspect(name, now)]
-        return [known[name] for name in trusted + doubted]
+        suspected = [name for name in ranked if self._is_suspect(name, now)]
+        return [known[name] for name in trusted + suspected]
 
     def list_remote_proxies(self) -> list[Instance]:
-        """Return proxies of other data centres."""
+        """Return the proxies in other data centres."""
         return [
             each
             for each in self._proxies.values()
--- a/deckdrum/fleet/messages.py
+++ b/deckdrum/fleet/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages between proxies or nodes, as MessagePack arrays.
+"""Typed messages between proxies or nodes, encoded as MessagePack arrays.
 
-A message is ``[number of its type, field, field, ...]``.  The stream needs no
-framing of its own: `msgpack.Unpacker` finds the ends.
+A message is ``[type number, field, field, ...]``.  Streams need no framing,
+because `msgpack.Unpacker` finds the end of each message.
 """
 
 from collections.abc import Sequence
@@ -13,12 +13,12 @@
 from deckdrum.fleet import limits, node_messages
 from deckdrum.fleet.base import Message
 
-#: Largest message accepted from a peer, in bytes.
+#: Largest message accepted from a peer.
 MAX_MESSAGE_BYTES: Final = 64_000_000
 
 
 class OpenChannel(Message, frozen=True):
-    """A caller's proxy opens a channel to the keeper of a service."""
+    """Opens a channel from a caller's proxy to the keeper of a service."""
 
     channel: str
     service: str
@@ -26,7 +26,10 @@
 
 
 class PreparedStatement(Message, frozen=True):
-    """A statement that a caller has prepared: its Parse, without a name."""
+    """A statement that a caller has prepared.
+
+    `parse` is the body of its Parse message without the name.
+    """
 
     name: str
     server_name: str
@@ -34,24 +37,24 @@
 
 
 class RunBatch(Message, frozen=True):
-    """Messages of a caller up to Sync or Flush, or one simple query.
+    """Messages of a caller up to Sync or Flush, or a simple query.
 
     Attributes
     ----------
     payload : bytes
-        The caller's messages, as they came.
+        The caller's messages, unchanged.
     access : str
         A value of `deckdrum.keepers.Access`.
     max_age : float
-        Accepted age of the data in seconds, for an aged read.
+        Largest accepted age of the data in seconds, for a stale read.
     floor : sequence of int
-        Term and offset that the session has seen.
+        Smallest term and log offset that the data must include.
     repeatable : bool
         Whether the batch may be sent to a database more than once.
     settings : sequence of pairs of str
         Session settings to replay.
     statements : sequence of PreparedStatement
-        The caller's prepared statements that the batch names.
+        Prepared statements that the batch refers to.
     """
 
     payload: bytes
@@ -64,16 +67,17 @@
 
 
 class Rows(Message, frozen=True):
-    """Part of an answer, as the database sent it."""
+    """Part of a result, as the database sent it."""
 
     payload: bytes
 
 
 class BatchEnd(Message, frozen=True):
-    """A batch is done.
+    """Reports that a batch is complete.
 
-    `status` is the transaction status, or empty after Flush.  `database`
-    and `route` tell who answered and why; `floor` what has been seen.
+    `status` is the transaction status, or empty after Flush.  `database` and
+    `route` tell which database answered and why it was chosen.  `floor` is the
+    term and log offset that the session has seen.
     """
 
     status: str
@@ -83,9 +87,9 @@
 
 
 class BatchRefused(Message, frozen=True):
-    """A batch did not end as done.
+    """Reports that a batch failed.
 
-    `lost_transaction` tells that the open transaction is gone with it.
+    `lost_transaction` tells whether the open transaction was lost with it.
     """
 
     code: str
@@ -94,50 +98,53 @@
 
 
 class CancelChannel(Message, frozen=True):
-    """Cancel what runs on a channel."""
+    """Cancels the batch that is running on a channel."""
 
     channel: str
 
 
 class CancelCaller(Message, frozen=True):
-    """A cancel request came to a proxy that does not know the key."""
+    """Passes on a cancel request with a key that the sender does not know."""
 
     process: int
     secret: bytes
 
 
 class AskProbe(Message, frozen=True):
-    """Ask a peer whether it reaches a database."""
+    """Asks a peer whether it can reach a database."""
 
     service: str
     database: str
 
 
 class ProbeAnswer(Message, frozen=True):
-    """Whether the peer reached the database."""
+    """Tells whether the peer reached the database."""
 
     reached: bool
 
 
 class Heartbeat(Message, frozen=True):
-    """Sent back as it came, to show that a proxy runs."""
+    """Checks that a proxy is running; the receiver sends it back."""
 
 
 class AskConfiguration(Message, frozen=True):
-    """Ask a peer for its configuration if newer than `number`."""
+    """Asks a peer for its configuration if it is newer than `number`."""
 
     number: int
 
 
 class ConfigurationAnswer(Message, frozen=True):
-    """A peer's configuration and records; `number` 0 if nothing newer."""
+    """Carries a peer's configuration and records.
+
+    `number` is 0 if the peer has no newer configuration.
+    """
 
     number: int
     body: bytes
     records: Sequence[Sequence[Any]] = ()
 
 
-_TYPES: Final = (
+_MESSAGE_TYPES: Final = (
     OpenChannel,
     PreparedStatement,
     RunBatch,
@@ -176,20 +183,23 @@
     limits.AskLimit,
     limits.LimitAnswer,
 )
-_NUMBERS: Final = MappingProxyType(
-    {message_type: number for number, message_type in enumerate(_TYPES)},
+_TYPE_NUMBERS: Final = MappingProxyType(
+    {
+        message_type: number
+        for number, message_type in enumerate(_MESSAGE_TYPES)
+    },
 )
 _FIELD_NAMES: Final = tuple(
-    message_type.__struct_fields__ for message_type in _TYPES
+    message_type.__struct_fields__ for message_type in _MESSAGE_TYPES
 )
 
 
 class MessageError(ConnectionError):
-    """A peer sent what is no message."""
+    """A peer sent data that is not a valid message."""
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as bytes.
+    """Encode a message.
 
     Examples
     --------
@@ -201,25 +211,25 @@
 
 
 def decode_message(parts: Any) -> Message:
-    """Return the message of unpacked parts.
+    """Return the message that consists of these unpacked parts.
 
     Raises
     ------
     MessageError
-        If type or number of fields are wrong.
+        If the type number or the number of fields is invalid.
     """
     try:
-        message_type = _TYPES[parts[0]]
+        message_type = _MESSAGE_TYPES[parts[0]]
         message: Message = message_type(*parts[1:])
     except (TypeError, IndexError, KeyError) as error:
-        raise MessageError(f'no message: {parts!r:.80}') from error
+        raise MessageError(f'invalid message: {parts!r:.80}') from error
     if isinstance(message, RunBatch):
         return _restore_statements(message)
     return message
 
 
 def _flatten(message: Message) -> list[Any]:
-    number = _NUMBERS[type(message)]
+    number = _TYPE_NUMBERS[type(message)]
     parts: list[Any] = [number]
     for name in _FIELD_NAMES[number]:
         part = getattr(message, name)
--- a/deckdrum/fleet/node_messages.py
+++ b/deckdrum/fleet/node_messages.py
@@ -1,4 +1,4 @@
-"""Questions between nodes on the platform, and their answers."""
+"""Requests and answers between nodes."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -7,10 +7,10 @@
 
 
 class AskNews(Message, frozen=True):
-    """Ask a peer for what it knows beyond the given revisions.
+    """Asks a peer for the updates that the sender lacks.
 
-    `version` is the asker's configuration; `revisions` maps kinds of record
-    to the revisions up to which the asker knows them.
+    `version` is the version of the sender's configuration; `revisions` maps
+    each kind of record to the latest revision that the sender has.
     """
 
     version: int
@@ -18,10 +18,11 @@
 
 
 class News(Message, frozen=True):
-    """What a peer knows and the asker does not; empty parts have no news.
+    """Updates that the requesting peer lacks.
 
-    `configuration` is as the store holds it, compressed; `updates` maps kinds
-    of record to encoded lists, or to changes of them.
+    `configuration` is the compressed content of the store; it is empty if the
+    requesting peer is up to date.  `updates` maps kinds of record to encoded
+    lists, or to changes of such lists.
     """
 
     configuration: bytes
@@ -29,16 +30,16 @@
 
 
 class FollowNews(Message, frozen=True):
-    """Ask a peer that watches the store for news as soon as it has some.
+    """Asks a peer that watches the store for its next updates (long poll).
 
     Attributes
     ----------
     revisions : mapping of str to int
-        Up to where the asker knows each kind that it follows.
+        Latest revision that the sender has of each kind of record.
     limit : float
-        Longest wait for news, in seconds.
+        Longest wait for updates, in seconds.
     version : int
-        The asker's configuration.
+        Version of the sender's configuration.
     """
 
     revisions: Mapping[str, int]
@@ -47,30 +48,34 @@
 
 
 class FollowAnswer(News, frozen=True):
-    """The answer: whether the peer watches the store, and its news."""
+    """Answers `FollowNews` with updates.
+
+    `is_feeding` tells whether the peer watches the store.
+    """
 
     is_feeding: bool
 
 
 class AskServer(Message, frozen=True):
-    """Ask a peer whether it reaches a backend server as a primary."""
+    """Asks a peer whether it reaches a backend server that acts as primary."""
 
     service: str
     server: str
 
 
 class ServerAnswer(Message, frozen=True):
-    """What the peer found out: whether it was reached, and leads a term."""
+    """Tells whether the peer reached the server, and which term it leads."""
 
     reached: bool
     leads_term: int
 
 
 class EndTerm(Message, frozen=True):
-    """Ask a peer to stop using the primary of a term.
+    """Asks a peer to stop using the primary of a term.
 
-    `may_finish` tells that the primary still answers, so that statements
-    under way are worth a short wait.  `fence` is the revision of the claim.
+    `may_finish` tells that the primary still answers, so that running
+    statements may be given a short time to finish.  `fence` is the fencing
+    token: the revision of the claim.
     """
 
     service: str
@@ -80,45 +85,46 @@
 
 
 class TermEnded(Message, frozen=True):
-    """The peer has stopped: it releases no change of that term any more."""
+    """Confirms that the peer acknowledges no more changes of the term."""
 
     service: str
     term: int
 
 
 class OpenDetour(Message, frozen=True):
-    """Ask a peer to pass bytes on to a backend server, both ways.
+    """Asks a peer to relay bytes to and from a backend server.
 
-    After a `DetourOpened` that says so the stream carries nothing else.
+    Once a `DetourOpened` has confirmed this, the stream carries only those
+    bytes.
     """
 
     server: str
 
 
 class DetourOpened(Message, frozen=True):
-    """Whether the peer has a connection to the server."""
+    """Tells whether the peer has connected to the server."""
 
     is_open: bool
 
 
 class BorrowLink(Message, frozen=True):
-    """Ask a node that holds connections to a server to lend one.
+    """Asks a holder of connections to a server to lend one.
 
-    After a `LinkLent` that says so both ends send `Carried` until the
+    Once a `LinkLent` has confirmed this, both ends send `Carried` until the
     borrower sends `ReturnLink`.
 
     Attributes
     ----------
     service, server : str
-        The database group and the server's id.
+        Database group and id of the server.
     group : str
-        The member group on whose behalf it is borrowed.
+        Member group on whose behalf the connection is borrowed.
     limit : float
-        Longest wait for a free connection in seconds.
+        Longest wait for a free connection, in seconds.
     values : mapping of str to str
-        Session values that the connection should have.
+        Session values that the connection should preferably have.
     workspace : str or None
-        Whose it must be; None if it may be anybody's.
+        Owner that the connection must have; None for any owner.
     """
 
     service: str
@@ -130,10 +136,11 @@
 
 
 class LinkLent(Message, frozen=True):
-    """The answer: whether a connection is lent, and its state.
+    """Tells whether a connection is lent, and the state of its session.
 
-    `is_full` tells that the lender holds connections and has none to lend now.
-    `prepared` has the effect, shape and name of each prepared statement.
+    `is_full` tells that the lender holds connections but none is available
+    now.  `prepared` lists the effect, shape and name of each prepared
+    statement.
     """
 
     is_lent: bool
@@ -143,15 +150,15 @@
 
 
 class Carried(Message, frozen=True):
-    """Bytes to or from the server."""
+    """Bytes relayed to or from the server over a lent connection."""
 
     payload: bytes
 
 
 class ReturnLink(Message, frozen=True):
-    """The borrower is done; the whole answer has arrived.
+    """Returns a lent connection after its whole answer has arrived.
 
-    A borrower that is not sure closes the stream instead.
+    A borrower that cannot be sure of that closes the stream instead.
     """
 
     values: Mapping[str, str]
@@ -159,35 +166,36 @@
 
 
 class LinkReturned(Message, frozen=True):
-    """The lender carries nothing more."""
+    """Confirms that the lender relays no more bytes."""
 
 
 class Forward(Message, frozen=True):
-    """Ask a node that holds connections to run a caller's statement.
+    """Asks a holder of connections to run a caller's statement.
 
-    If the answer says that a transaction is open, both ends go on with
-    `ForwardNext` on the same stream until one says that it has ended.
+    If the answer says that a transaction is open, its further statements are
+    sent as `ForwardNext` on the same stream until it has ended.
 
     Attributes
     ----------
     request : str
-        The caller's id of the statement.
+        Id that the caller gave to the statement.
     operation : sequence of str
-        Its name and fields.
+        Name and fields of the operation.
     statement : sequence of str
-        Effect and shape of the prepared statement that it executes, if any.
+        Effect and shape of the prepared statement to execute, if any.
     route : sequence
-        Fields of the route that binds it.
+        Fields of the route that applies to the statement.
     values : mapping of str to str
-        Session values.
+        Session values of the caller.
     floor : sequence of int
-        Term and offset of the session's latest change.
+        Smallest term and log offset that a read must include: that of the
+        session's latest change.
     begin : str
-        ``read`` or ``write`` to open a transaction first.
+        ``read`` or ``write`` to open a transaction first, else empty.
     workspace, fingerprint : str
-        The workspace that holds the caller's key, and the key's fingerprint.
+        Workspace of the caller's key, and the fingerprint of that key.
     version : int
-        Version of the configuration that said so.
+        Version of the configuration in which the key was found.
     """
 
     request: str
@@ -203,7 +211,7 @@
 
 
 class ForwardNext(Message, frozen=True):
-    """Run the next statement of the transaction that is open."""
+    """Asks to run the next statement of the open transaction."""
 
     request: str
     operation: Sequence[str]
@@ -211,22 +219,22 @@
 
 
 class ForwardAnswer(Message, frozen=True):
-    """What became of a statement that was handed over.
+    """Outcome of a forwarded statement.
 
     Attributes
     ----------
     is_open : bool
-        Whether its transaction goes on.
+        Whether its transaction is still open.
     code : str
-        Code of the refusal; empty if it was answered.
+        Code of the refusal; empty if the statement was answered.
     text : str
-        The refusal's text, or the server's proof that it ran.
+        Text of the refusal, or the server's confirmation that it ran.
     retry_after : float or None
-        Of a refusal, in seconds.
+        Delay before a retry after a refusal, in seconds.
     rows : sequence of str
-        Of an answer.
+        Rows of the answer.
     position : sequence of int
-        Term and offset of the server's log, if it said so.
+        Term and offset of the server's log; empty if not reported.
     """
 
     is_open: bool
@@ -238,31 +246,33 @@
 
 
 class AskProof(Message, frozen=True):
-    """Ask a peer for its proof that a term goes on."""
+    """Asks a peer for its leadership proof of a term."""
 
     service: str
     term: int
 
 
 class ProofAnswer(Message, frozen=True):
-    """How long ago the peer asked for its proof, in seconds.
+    """Age of the peer's leadership proof, in seconds.
 
-    Negative if it has none.
+    Counted from the time when the peer requested the proof; negative if it has
+    none.
     """
 
     age: float
 
 
 class AskSample(Message, frozen=True):
-    """Ask a peer where a primary's log stood lately."""
+    """Asks a peer for its latest sample of a primary's log position."""
 
     service: str
 
 
 class SampleAnswer(Message, frozen=True):
-    """Where the log stood, and how long ago the peer asked, in seconds.
+    """Sample of a primary's log position, and its age in seconds.
 
-    A negative age if the peer does not know.
+    The age counts from the time when the peer requested the sample; it is
+    negative if the peer has none.
     """
 
     term: int
--- a/deckdrum/fleet/node_peers.py
+++ b/deckdrum/fleet/node_peers.py
@@ -1,9 +1,9 @@
-"""A node's questions to other nodes, and the streams on which they come.
+"""Requests of a node to its peers, and the server that answers theirs.
 
-For news of the store each node asks a few others, drawn at random.  So news
-spreads also while the store turns a node away, and this work does not grow
-with the number of nodes.  Only what is rare is told to every node: the end of
-a term.
+Updates of the store spread by gossip: each node regularly asks a few random
+peers for them.  So a node receives updates even if the store refuses its
+requests, and the cost per node does not grow with the size of the fleet.  Only
+rare messages, such as the end of a term, are sent to every node.
 """
 
 from collections.abc import Awaitable, Callable, Iterable, Mapping
@@ -45,19 +45,19 @@
 from deckdrum.outcomes.errors import DocumentError
 from deckdrum.utils import Address, Journal, Listener, Stream
 
-#: Pause between two rounds of news while the store answers, in seconds.
+#: Mean time between gossip rounds while the store answers.
 GOSSIP_INTERVAL_S: Final = 1.0
-#: The same while it does not; well below the bound for a configuration (3 s)
-#: together with the rounds that news may need.
+#: The same while it does not.  Several rounds must fit into the 3 s within
+#: which a new configuration has to reach every node.
 OUTAGE_GOSSIP_INTERVAL_S: Final = 0.25
-#: Peers asked in one round.
+#: Peers asked in one gossip round.
 GOSSIP_FANOUT: Final = 2
-#: Longest wait for a peer's answer, in seconds.
-ASK_LIMIT: Final = 0.6
+#: Longest wait for a peer's answer.
+ASK_TIMEOUT_S: Final = 0.6
 
-Answering = Callable[[Message], Awaitable[Message | None]]
-Lending = Callable[[StreamChannel, BorrowLink], Awaitable[None]]
-Forwarding = Callable[[StreamChannel, Forward], Awaitable[None]]
+AnswerHandler = Callable[[Message], Awaitable[Message | None]]
+LendHandler = Callable[[StreamChannel, BorrowLink], Awaitable[None]]
+ForwardHandler = Callable[[StreamChannel, Forward], Awaitable[None]]
 PeerAnswer = Message | ConnectionRefusedError | None
 
 
@@ -67,19 +67,19 @@
     Parameters
     ----------
     settings : NodeSettings
-        This node; its seeds are asked while no member is known.
+        Settings of this node; its seeds are asked while no member is known.
     view : ControlView
-        What this node knows.
+        State of the control store as known to this node.
     feed : StoreFeed
-        Knows whether the store answers.
+        Tells whether the store answers.
     store : ControlStore
-        Decodes configurations that peers hand over.
+        Decodes configurations received from peers.
     dialer : DetourDialer
-        Connects to servers for peers that are cut off from them.
+        Opens connections to servers on behalf of peers.
     journal : Journal
-        For changes of what is known.
+        Logs updates that cannot be decoded, and unresponsive nodes.
     randomness : random.Random
-        Draws the peers of a round.
+        Selects the peers of a gossip round.
     """
 
     def __init__(
@@ -92,33 +92,33 @@
         journal: Journal,
         randomness: Random,
     ) -> None:
-        #: Answers a message of another node; set by the node.
-        self.answer: Answering | None = None
-        #: Lends connections of this node; set by the node.
-        self.lend: Lending | None = None
-        #: Runs statements that others hand over; set by the node.
-        self.run_forwarded: Forwarding | None = None
+        #: Answers a message of a peer; set by the node.
+        self.answer: AnswerHandler | None = None
+        #: Lends connections to peers; set by the node.
+        self.lend: LendHandler | None = None
+        #: Runs statements forwarded by peers; set by the node.
+        self.run_forwarded: ForwardHandler | None = None
         self._settings = settings
         self._view = view
         self._feed = feed
         self._store = store
         self._journal = journal
         self._randomness = randomness
-        #: Streams on which connections are borrowed.
+        #: Streams over which connections are borrowed.
         self.loans = StreamPool()
-        #: Streams on which statements are handed over.
+        #: Streams over which statements are forwarded.
         self.forwards = StreamPool()
         self._streams = StreamPool()
-        #: The configuration in force as peers get it, and its version.
-        self._compressed = (0, b'')
-        self._carrier = DetourRelay(view, dialer, journal)
-        #: Which of them do not answer.
+        #: Version of the current configuration, and its compressed encoding.
+        self._compressed_configuration = (0, b'')
+        self._detours = DetourRelay(view, dialer, journal)
+        #: Tracks unresponsive nodes.
         self.health = PeerHealth(self.ask, journal)
         self._listener = Listener(settings.peer_address, self._serve)
 
     @property
     def others(self) -> list[Member]:
-        """Registered nodes but this one and those that are gone."""
+        """Registered nodes, except this one and those marked as gone."""
         return [
             member
             for member in self._view.members.values()
@@ -127,35 +127,39 @@
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force here."""
+        """Version of the current configuration of this node."""
         return self._view.version
 
     @property
     def has_gone_members(self) -> bool:
-        """Whether a node is registered that does not answer the others."""
+        """Whether a registered node is marked as gone."""
         return any(member.is_gone for member in self._view.members.values())
 
     async def start(self) -> None:
-        """Listen for other nodes."""
+        """Start to listen for peers."""
         await self._listener.start()
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections to peers."""
         await self._listener.close()
         await self._streams.close()
         await self.loans.close()
         await self.forwards.close()
 
     async def run(self) -> None:
-        """Ask for news for ever."""
+        """Run gossip rounds until cancelled."""
         while True:
-            is_calm = self._feed.is_synchronized
-            pause = GOSSIP_INTERVAL_S if is_calm else OUTAGE_GOSSIP_INTERVAL_S
+            is_store_available = self._feed.is_synchronized
+            pause = (
+                GOSSIP_INTERVAL_S
+                if is_store_available
+                else OUTAGE_GOSSIP_INTERVAL_S
+            )
             await curio.sleep(pause * (0.5 + self._randomness.random()))
             await self.run_gossip_round()
 
     async def run_gossip_round(self) -> None:
-        """Ask a few peers for what this node does not know."""
+        """Ask a few random peers for the updates that this node lacks."""
         addresses = [member.endpoint for member in self.others]
         addresses = addresses or [
             seed
@@ -163,62 +167,63 @@
             if seed != self._settings.peer_address
         ]
         count = min(GOSSIP_FANOUT, len(addresses))
-        async with curio.TaskGroup() as asking:
+        async with curio.TaskGroup() as fetching:
             for address in self._randomness.sample(addresses, count):
-                await asking.spawn(self._fetch_from, address)
+                await fetching.spawn(self._fetch_updates_from, address)
 
     async def ask(
         self,
         address: Address,
-        question: Message,
-        limit: float = ASK_LIMIT,
+        request: Message,
+        timeout: float = ASK_TIMEOUT_S,
     ) -> PeerAnswer:
-        """Ask one peer.
+        """Send a request to a peer and return its answer.
 
         Returns
         -------
         Message, ConnectionRefusedError or None
             The error if no process listens at the address; None if the
-            peer does not answer in time.
+            peer does not answer within `timeout` seconds.
         """
         try:
-            async with curio.timeout_after(limit):
-                return await self._streams.exchange(address, question)
+            async with curio.timeout_after(timeout):
+                return await self._streams.exchange(address, request)
         except ConnectionRefusedError as error:
             return error
         except (ConnectionError, curio.TaskTimeout):
-            # The peer may be gone: its registration outlives it.
+            # Nodes can stay registered after they have stopped.
             return None
 
     async def ask_all(
         self,
-        question: Message,
-        limit: float = ASK_LIMIT,
+        request: Message,
+        timeout: float = ASK_TIMEOUT_S,
     ) -> dict[str, PeerAnswer]:
-        """Ask every other node at once; return the answers by name."""
-        return await self.ask_each(self.others, question, limit)
+        """Ask all other nodes concurrently; return the answers by name."""
+        return await self.ask_each(self.others, request, timeout)
 
     def count_registered(self) -> int:
-        """Return the number of registered nodes, this one among them.
+        """Return the number of registered nodes, including this one.
 
-        Nodes that are noted as gone count: they may run on, cut off.
+        Nodes marked as gone are included, since they may still be running on
+        the other side of a network partition.
         """
         names = set(self._view.members)
         names.add(self._settings.name)
         return len(names)
 
-    def build_follow_request(self, limit: float) -> FollowNews:
-        """Return the question for news that this node lacks."""
-        return FollowNews(self._read_revisions(), limit, self._view.version)
+    def build_follow_request(self, timeout: float) -> FollowNews:
+        """Return a request to follow a peer from the current revisions."""
+        return FollowNews(self._get_revisions(), timeout, self._view.version)
 
-    def collect_updates(self, question: AskNews) -> News:
-        """Return what this node knows beyond an asker's revisions."""
-        return self._gather_news(question.version, question.revisions)
+    def collect_updates(self, request: AskNews) -> News:
+        """Return the updates that a requesting peer lacks."""
+        return self._build_updates(request.version, request.revisions)
 
-    async def apply_updates(self, news: News, address: Address) -> None:
-        """Take over a peer's news; what cannot be read is told."""
+    async def apply_updates(self, received: News, address: Address) -> None:
+        """Apply a peer's updates; log those that cannot be decoded."""
         try:
-            await self._adopt(news, str(address))
+            await self._apply(received, str(address))
         except (DecodeError, DocumentError, ValueError) as error:
             self._journal.record(
                 'peer.bad_news', peer=str(address), reason=str(error)
@@ -227,47 +232,48 @@
     async def ask_each(
         self,
         members: Iterable[Member],
-        question: Message,
-        limit: float = ASK_LIMIT,
+        request: Message,
+        timeout: float = ASK_TIMEOUT_S,
     ) -> dict[str, PeerAnswer]:
-        """Ask some nodes at once; return the answers by name."""
+        """Ask nodes concurrently; return the answers by name."""
         tasks = {
             member.name: await curio.spawn(
                 self.ask,
                 member.endpoint,
-                question,
-                limit,
+                request,
+                timeout,
             )
             for member in members
         }
         return {name: await task.join() for name, task in tasks.items()}
 
-    async def _fetch_from(self, address: Address) -> None:
-        question = AskNews(self._view.version, self._read_revisions())
-        answer = await self.ask(address, question)
+    async def _fetch_updates_from(self, address: Address) -> None:
+        request = AskNews(self._view.version, self._get_revisions())
+        answer = await self.ask(address, request)
         if isinstance(answer, News):
             await self.apply_updates(answer, address)
 
-    async def _adopt(self, news: News, source: str) -> None:
-        # The records first: a damaged configuration must not hide them.
-        for name, body in news.updates.items():
+    async def _apply(self, received: News, source: str) -> None:
+        # Records come first, so that a corrupt configuration does not prevent
+        # their update.
+        for name, body in received.updates.items():
             kind = Kind(name)
             update = decode_update(kind, body)
             await self._view.apply_update(kind, update, source)
-        if news.configuration:
-            encoded = decompress_configuration(news.configuration)
+        if received.configuration:
+            encoded = decompress_configuration(received.configuration)
             configuration = self._store.decode_configuration(encoded)
             await self._view.adopt_configuration(configuration)
 
-    def _read_revisions(self) -> dict[str, int]:
-        """Return up to where this node knows each kind that peers share."""
+    def _get_revisions(self) -> dict[str, int]:
+        """Return the latest known revision of each shared kind of record."""
         return {
             kind.value: self._view.get_revision(kind)
             for kind in REPLICATED_KINDS
         }
 
-    def _gather_news(self, version: int, known: Mapping[str, int]) -> News:
-        """Return what a peer lacks that knows so much of each kind."""
+    def _build_updates(self, version: int, known: Mapping[str, int]) -> News:
+        """Return the updates beyond a peer's version and revisions."""
         is_newer = self._view.version > version
         configuration = self._compress_configuration() if is_newer else b''
         updates = {
@@ -280,54 +286,56 @@
         return News(configuration, updates)
 
     def _compress_configuration(self) -> bytes:
-        """Return the configuration in force as peers get it."""
+        """Return the current configuration, compressed for peers."""
         configuration = self._view.configuration
         if configuration is None:
             return b''
-        if self._compressed[0] != configuration.version:
+        if self._compressed_configuration[0] != configuration.version:
             body = compress_configuration(configuration.encoded)
-            self._compressed = (configuration.version, body)
-        return self._compressed[1]
+            self._compressed_configuration = (configuration.version, body)
+        return self._compressed_configuration[1]
 
-    async def _answer_follower(self, question: FollowNews) -> FollowAnswer:
-        """Answer a peer that follows this node once there is news."""
+    async def _answer_follower(self, request: FollowNews) -> FollowAnswer:
+        """Answer a follower once there are updates or its wait ends."""
         revisions = {
-            kind: question.revisions.get(kind.value, 0)
+            kind: request.revisions.get(kind.value, 0)
             for kind in REPLICATED_KINDS
         }
         await self._feed.wait_for_changes(
             revisions,
-            question.version,
-            question.limit,
+            request.version,
+            request.limit,
         )
         if not self._feed.is_feeding:
             return FollowAnswer(b'', {}, is_feeding=False)
-        news = self._gather_news(question.version, question.revisions)
-        return FollowAnswer(news.configuration, news.updates, is_feeding=True)
+        missing = self._build_updates(request.version, request.revisions)
+        return FollowAnswer(
+            missing.configuration, missing.updates, is_feeding=True
+        )
 
     async def _serve(self, stream: Stream) -> None:
         channel = StreamChannel(stream)
         while True:
-            question = await channel.receive()
-            if isinstance(question, OpenDetour):
-                await self._carrier.carry(stream, question)
+            request = await channel.receive()
+            if isinstance(request, OpenDetour):
+                await self._detours.handle_request(stream, request)
                 return
-            if isinstance(question, BorrowLink) and self.lend is not None:
-                await self.lend(channel, question)
+            if isinstance(request, BorrowLink) and self.lend is not None:
+                await self.lend(channel, request)
                 continue
-            if isinstance(question, Forward) and self.run_forwarded is not None:
-                await self.run_forwarded(channel, question)
+            if isinstance(request, Forward) and self.run_forwarded is not None:
+                await self.run_forwarded(channel, request)
                 continue
-            answer = await self._find_answer(question)
+            answer = await self._get_answer(request)
             if answer is None:
                 return
             await channel.send(answer)
 
-    async def _find_answer(self, question: Message) -> Message | None:
-        if isinstance(question, AskNews):
-            return self.collect_updates(question)
-        if isinstance(question, FollowNews):
-            return await self._answer_follower(question)
+    async def _get_answer(self, request: Message) -> Message | None:
+        if isinstance(request, AskNews):
+            return self.collect_updates(request)
+        if isinstance(request, FollowNews):
+            return await self._answer_follower(request)
         if self.answer is None:
             return None
-        return await self.answer(question)
+        return await self.answer(request)
--- a/deckdrum/fleet/peers.py
+++ b/deckdrum/fleet/peers.py
@@ -1,4 +1,4 @@
-"""Streams to other proxies."""
+"""Streams to peers, and requests to other proxies."""
 
 from random import Random
 from typing import Final
@@ -16,24 +16,24 @@
 )
 from deckdrum.utils import Address, dial
 
-#: Longest wait for a connection to a peer, in seconds.
-DIAL_LIMIT: Final = 0.3
-#: Longest wait for a peer's answer, in seconds.
-ASK_LIMIT: Final = 0.7
-#: Peers asked for a second opinion.
+#: Longest wait for a connection to a peer.
+DIAL_TIMEOUT_S: Final = 0.3
+#: Longest wait for a peer's answer.
+ASK_TIMEOUT_S: Final = 0.7
+#: Peers asked whether they reach a database that this proxy does not.
 MAX_PROBE_PEERS: Final = 2
-#: Idle streams kept for each peer.
-_IDLE_STREAMS: Final = 8
+#: Idle streams kept per peer.
+_MAX_IDLE_STREAMS: Final = 8
 
 
 class StreamPool:
-    """Streams to peers on which nothing is under way."""
+    """Pool of idle streams to peers."""
 
     def __init__(self) -> None:
         self._idle: dict[Address, list[StreamChannel]] = {}
 
     async def open(self, address: Address) -> StreamChannel:
-        """Return a stream to a peer, kept or new.
+        """Return an idle stream to a peer, or open a new one.
 
         Raises
         ------
@@ -46,31 +46,31 @@
             if channel.is_usable:
                 return channel
             await channel.close()
-        return StreamChannel(await dial(address, DIAL_LIMIT))
+        return StreamChannel(await dial(address, DIAL_TIMEOUT_S))
 
     async def keep(self, address: Address, channel: StreamChannel) -> None:
-        """Keep a stream on which nothing is under way."""
+        """Put an idle stream back, or close it if the pool is full."""
         idle = self._idle.setdefault(address, [])
-        if len(idle) < _IDLE_STREAMS and channel.is_usable:
+        if len(idle) < _MAX_IDLE_STREAMS and channel.is_usable:
             idle.append(channel)
         else:
             await channel.close()
 
-    async def exchange(self, address: Address, question: Message) -> Message:
-        """Ask a peer on a stream of its own and return the answer.
+    async def exchange(self, address: Address, request: Message) -> Message:
+        """Send a request on a stream of its own and return the answer.
 
         Raises
         ------
         ConnectionError
-            If the peer cannot be reached or gives no answer.
+            If the peer cannot be reached or does not answer.
         """
         channel = await self.open(address)
-        answer = await channel.ask(question)
+        answer = await channel.ask(request)
         await self.keep(address, channel)
         return answer
 
     async def close(self) -> None:
-        """Close the kept streams."""
+        """Close the idle streams."""
         for idle in self._idle.values():
             for channel in idle:
                 await channel.close()
@@ -78,63 +78,63 @@
 
 
 class ProxyPeers:
-    """Opens and keeps streams to other proxies.
+    """Pools streams to other proxies and sends requests over them.
 
     Parameters
     ----------
     membership : Membership
-        Who is in the fleet.
+        Members of the fleet.
     randomness : random.Random
-        Chooses whom to ask.
+        Selects the proxies to ask.
     """
 
     def __init__(self, membership: Membership, randomness: Random) -> None:
         self._membership = membership
         self._randomness = randomness
-        #: Streams for callers' batches.  They have a pool of their own: a
-        #: keeper that serves a channel answers no questions on it.
+        #: Streams for callers' batches, in a pool of their own because a keeper
+        #: does not answer other requests on a stream that served a channel.
         self.channels = StreamPool()
-        self._questions = StreamPool()
-        #: Messages sent on behalf of control, not of callers.
+        self._request_streams = StreamPool()
+        #: Number of requests that were not sent on behalf of callers.
         self.control_messages = 0
 
     async def close(self) -> None:
-        """Close the kept streams."""
+        """Close the idle streams."""
         await self.channels.close()
-        await self._questions.close()
+        await self._request_streams.close()
 
-    async def ask(self, address: Address, question: Message) -> Message | None:
-        """Return a peer's answer, or None if none came."""
+    async def ask(self, address: Address, request: Message) -> Message | None:
+        """Return a peer's answer, or None if it does not answer in time."""
         self.control_messages += 1
         try:
-            async with curio.timeout_after(ASK_LIMIT):
-                return await self._questions.exchange(address, question)
+            async with curio.timeout_after(ASK_TIMEOUT_S):
+                return await self._request_streams.exchange(address, request)
         except (ConnectionError, curio.TaskTimeout):
             return None
 
     async def ask_reachability(
         self, service: str, database: str
     ) -> bool | None:
-        """Ask proxies of other data centres whether they reach a database.
+        """Ask some proxies of other data centres whether they reach a database.
 
         Returns
         -------
         bool or None
-            True if any of them does, None if none answered.
+            True if any of them does; None if none answered.
         """
         others = self._membership.list_remote_proxies()
-        chosen = self._randomness.sample(
+        asked = self._randomness.sample(
             others, min(MAX_PROBE_PEERS, len(others))
         )
-        question = AskProbe(service, database)
-        opinions: list[bool] = []
+        request = AskProbe(service, database)
+        answers: list[bool] = []
         async with curio.TaskGroup() as tasks:
-            for instance in chosen:
-                await tasks.spawn(self.ask, instance.endpoint, question)
+            for instance in asked:
+                await tasks.spawn(self.ask, instance.endpoint, request)
             async for task in tasks:
                 if isinstance(task.result, ProbeAnswer):
-                    opinions.append(task.result.reached)
-        return any(opinions) if opinions else None
+                    answers.append(task.result.reached)
+        return any(answers) if answers else None
 
     async def ask_configuration(
         self,
--- a/deckdrum/fleet/policies.py
+++ b/deckdrum/fleet/policies.py
@@ -1,7 +1,7 @@
-"""Mechanisms of a node that can be left out, to find what each is worth.
+"""Optional mechanisms of a node, which can be disabled one by one.
 
-Nothing of these keeps a promise: a node without all of them is slower, and no
-less right.
+They improve latency and availability only.  Correctness does not depend on
+any of them.
 """
 
 from collections.abc import Iterable
@@ -12,39 +12,40 @@
 
 
 class Policy(StrEnum):
-    """A mechanism that can be left out, by its name for operators."""
+    """An optional mechanism, identified by its name in the settings."""
 
-    #: A read goes to a second server once its answer is overdue.
+    #: Send a read to a second server if the first is slow to answer.
     HEDGED_READS = 'hedged-reads'
-    #: A try whose answer is lost is given up before its time.
+    #: Abandon an attempt early once its answer is known to be lost.
     LOST_ANSWERS = 'lost-answers'
-    #: Retries after failures are a bounded part of what succeeds.
+    #: Bound retries to a fraction of the successful requests.
     RETRY_BUDGET = 'retry-budget'
-    #: Where few nodes hold a group's connections the others hand it statements.
+    #: Forward statements to the nodes that hold connections to a database
+    #: group, where only a few nodes do.
     FORWARDING = 'forwarding'
-    #: Statements of one workspace meet at one holder.
+    #: Send all statements of a workspace to the same holder.
     WORKSPACE_HOLDERS = 'workspace-holders'
-    #: Reads of one workspace keep to one replica while it has room.
+    #: Send the reads of a workspace to the same replica while it has capacity.
     WORKSPACE_REPLICAS = 'workspace-replicas'
-    #: Connections are borrowed of nodes that hold more or idle ones.
+    #: Borrow connections from nodes that hold spare or idle ones.
     BORROWING = 'borrowing'
-    #: A primary that cannot be reached is reached through another node.
+    #: Reach a primary through another node if it cannot be reached directly.
     DETOURS = 'detours'
-    #: One node of a data centre asks for proof for all.
+    #: Have one node of each data centre request leadership proofs for all.
     SHARED_PROOF = 'shared-proof'
-    #: One node of a data centre samples the primary for all.
+    #: Have one node of each data centre sample the primary's log for all.
     SHARED_SAMPLES = 'shared-samples'
-    #: Answers of replicas are proof of the primary's term.
+    #: Accept answers of replicas as leadership proof of the primary.
     PROOF_FROM_READS = 'proof-from-reads'
-    #: A read waits a moment for a sample rather than go to the primary.
+    #: Let a read wait briefly for a sample instead of using the primary.
     SAMPLE_WAIT = 'sample-wait'
-    #: A read waits a moment for a replica of its own data centre.
+    #: Let a read wait briefly for a replica in its own data centre.
     NEAR_READS = 'near-reads'
-    #: Connections that do not go round go to the nearest nodes.
+    #: Allocate scarce connections to the nearest nodes.
     NEAREST_CONNECTIONS = 'nearest-connections'
-    #: The wait for one of few connections is bounded.
+    #: Bound the wait for a connection to a server that has few.
     FEW_WAIT = 'few-wait'
-    #: Replicas that lacked a position are passed over for a while.
+    #: Temporarily skip replicas that lacked a required log position.
     REPLICA_PAUSES = 'replica-pauses'
 
 
@@ -52,12 +53,12 @@
 
 
 def exclude_policies(names: Iterable[str]) -> frozenset[Policy]:
-    """Return every policy but those named.
+    """Return all policies except the named ones.
 
     Raises
     ------
     SettingsError
-        If a name is of no policy.
+        If a name is not that of a policy.
 
     Examples
     --------
@@ -65,8 +66,8 @@
     False
     """
     try:
-        left_out = {Policy(name) for name in names}
+        excluded = {Policy(name) for name in names}
     except ValueError as error:
         known = ', '.join(Policy)
-        raise SettingsError(f'{error}, expected some of {known}') from error
-    return ALL_POLICIES - left_out
+        raise SettingsError(f'{error}; known policies: {known}') from error
+    return ALL_POLICIES - excluded
--- a/deckdrum/fleet/settings.py
+++ b/deckdrum/fleet/settings.py
@@ -1,4 +1,4 @@
-"""The settings of one node."""
+"""Settings of a node."""
 
 from dataclasses import dataclass
 
@@ -10,26 +10,27 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a node must know before it can ask anybody.
+    """Settings that a node needs before it can contact the store or a peer.
 
     Attributes
     ----------
     name : str
-        Unique among the nodes.
+        Name of the node, unique in the fleet.
     data_centre : str
-        Where it runs.
+        Data centre in which the node runs.
     peer_address : Address
-        Where it listens for other nodes.
+        Address on which the node listens for its peers.
     seeds : tuple of Address
-        Nodes that may be asked first.
+        Addresses of peers to contact while no member is known.
     seed : int
-        Of its randomness; 0 takes a fresh one.
+        Seed of the random number generator; 0 for a random seed.
     policies : frozenset of Policy
-        Mechanisms in force.
+        Enabled mechanisms.
     limit_tolerance : Tolerance
-        What workspaces may begin beyond their limits.
+        How far workspaces may exceed their operation limits.
     drain_time : float
-        For how long a server that leaves serves on at least, in seconds.
+        Shortest time for which a server that leaves keeps serving, in
+        seconds.
     """
 
     name: str
--- a/deckdrum/fleet/tests/test_empty_logs.py
+++ b/deckdrum/fleet/tests/test_empty_logs.py
@@ -1,4 +1,4 @@
-"""A new connection to a server whose log may be of another life."""
+"""New connections to a server that may have restarted with an empty log."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -42,14 +42,14 @@
 @pytest.mark.parametrize(
     ('opened_at', 'is_known'),
     [
-        # It still applies what it has received before it led.
+        # A new primary that is still applying the log it received.
         (Position(4, 3), True),
         (Position(3, 1204), True),
         (None, True),
         (Position(1, 0), False),
     ],
 )
-def test_log_that_is_not_empty_or_not_known_is_used(
+def test_server_with_a_log_or_without_known_data_is_accepted(
     opened_at: Position | None,
     is_known: bool,
 ) -> None:
@@ -58,7 +58,7 @@
     assert not link.is_closed
 
 
-def test_log_that_held_something_and_is_empty_is_of_another_life() -> None:
+def test_empty_log_of_a_server_with_known_data_is_rejected() -> None:
     link = FakeLink(Position(1, 0))
     with pytest.raises(WrongServerError, match='the log of i-1 is empty'):
         _connect(link, is_known=True)
--- a/deckdrum/fleet/tests/test_following.py
+++ b/deckdrum/fleet/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Nodes that leave watches of the store to peers, in virtual time."""
+"""Nodes that follow the store through a peer, in virtual time."""
 
 import curio
 
@@ -12,10 +12,10 @@
     play,
 )
 
-#: Enough nodes of one data centre for some to follow others.
+#: Number of nodes in one data centre for which some follow others.
 NODES = 9
-#: Longer than nodes need to know who watches, in seconds.
-SETTLED = 3.0
+#: Longer than the nodes need to choose the feeders.
+SETTLE_TIME_S = 3.0
 
 
 def _list_feeders(deployment: Deployment) -> list[RunningNode]:
@@ -24,15 +24,15 @@
     ]
 
 
-def _count_knowing(deployment: Deployment, server: str) -> int:
+def _count_updated_nodes(deployment: Deployment, server: str) -> int:
     return sum(
         running.node.view.servers[server].is_draining
         for running in deployment.nodes
     )
 
 
-async def _drain_one(deployment: Deployment) -> float:
-    """Have a replica drain; return when every node knew, in seconds."""
+async def _drain_replica(deployment: Deployment) -> float:
+    """Drain a replica; return the seconds until all nodes have the update."""
     replica = next(
         server
         for server in deployment.group.servers.values()
@@ -41,29 +41,29 @@
     await replica.drain()
     nodes = len(deployment.nodes)
     return await deployment.wait_for(
-        lambda: _count_knowing(deployment, replica.name) == nodes,
+        lambda: _count_updated_nodes(deployment, replica.name) == nodes,
     )
 
 
-def test_few_nodes_watch_and_all_learn() -> None:
+def test_update_reaches_all_nodes_through_few_watches() -> None:
     async def scenario(deployment: Deployment) -> None:
         assert len(_list_feeders(deployment)) == MIN_FEEDERS
         before = deployment.store.calls.total()
-        assert await _drain_one(deployment) < 0.6
-        # Each feeder's watch is answered and begun again.
+        assert await _drain_replica(deployment) < 0.6
+        # Each feeder's watch is answered and restarted.
         assert deployment.store.calls.total() - before <= 2 * MIN_FEEDERS
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLED)
+    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
-def test_few_nodes_of_a_data_centre_all_watch() -> None:
+def test_all_nodes_watch_if_each_data_centre_has_few() -> None:
     async def scenario(deployment: Deployment) -> None:
         assert len(_list_feeders(deployment)) == len(deployment.nodes)
 
-    play(scenario, nodes=6, settle=SETTLED)
+    play(scenario, nodes=6, settle=SETTLE_TIME_S)
 
 
-def test_removed_server_is_forgotten_by_followers() -> None:
+def test_removal_of_a_server_reaches_followers() -> None:
     async def scenario(deployment: Deployment) -> None:
         replica = next(
             server
@@ -82,53 +82,53 @@
             limit=8,
         )
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLED)
+    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
-def test_followers_of_dead_feeders_learn_on() -> None:
+def test_followers_of_stopped_feeders_still_get_updates() -> None:
     async def scenario(deployment: Deployment) -> None:
         for feeder in _list_feeders(deployment):
             deployment.nodes.remove(feeder)
             await deployment.stop_node(feeder)
-        assert await _drain_one(deployment) < 1.0
+        assert await _drain_replica(deployment) < 1.0
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLED)
+    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
-def test_followers_leave_feeders_that_are_cut_off_from_the_store() -> None:
+def test_followers_leave_feeders_that_the_store_refuses() -> None:
     async def scenario(deployment: Deployment) -> None:
         feeders = _list_feeders(deployment)
         for feeder in feeders:
             name = feeder.node.settings.name
             deployment.store.turned_away[name] = StoreFault.BUSY
-        # The feeders' watches are answered, and the next ones refused.
+        # The open watches are answered, and the next ones are refused.
         await deployment.store.write('config', 'unreadable', {})
         for kind in ('servers', 'deckdrum-members', 'deckdrum-leadership'):
             await deployment.store.write(kind, 'unreadable', {})
         await curio.sleep(1.5)
         assert not any(feeder.node.feed.is_feeding for feeder in feeders)
-        assert await _drain_one(deployment) < 2.0
+        assert await _drain_replica(deployment) < 2.0
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLED)
+    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
-def test_one_configuration_costs_a_call_a_feeder() -> None:
+def test_new_configuration_costs_few_calls_per_feeder() -> None:
     async def scenario(deployment: Deployment) -> None:
         before = deployment.store.calls.total()
         await deployment.store.write('config', 'main', build_config(9))
-        took = await deployment.wait_for(
+        elapsed = await deployment.wait_for(
             lambda: all(
                 running.node.view.version == 9 for running in deployment.nodes
             ),
         )
-        assert took < 0.2
-        # The watch of each feeder is answered and begun again.
+        assert elapsed < 0.2
+        # Each feeder's watch is answered and restarted.
         assert deployment.store.calls.total() - before <= 2 * MIN_FEEDERS
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLED)
+    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
-def test_first_configuration_after_the_start_reaches_followers() -> None:
+def test_configurations_written_during_start_reach_followers() -> None:
     async def scenario(deployment: Deployment) -> None:
         for version in range(2, 6):
             config = build_config(version)
@@ -137,36 +137,38 @@
         versions = {running.node.view.version for running in deployment.nodes}
         assert versions == {5}
 
-    # Written while the nodes have not decided yet who watches.
+    # Written before the nodes have chosen the feeders.
     play(scenario, nodes=NODES, centres=1, settle=0)
 
 
-def test_many_nodes_probe_an_absent_store_no_more_than_few() -> None:
+def test_probes_of_an_unavailable_store_do_not_grow_with_nodes() -> None:
     async def scenario(deployment: Deployment) -> None:
         deployment.store.fault = StoreFault.BUSY
         for kind in ('config', 'servers', 'deckdrum-members'):
             await deployment.store.write(kind, 'unreadable', {})
-        # Until the pauses between two tries have grown.
+        # Wait until the delays between retries have grown.
         await curio.sleep(8.0)
         before = deployment.store.calls.total()
         await curio.sleep(10.0)
-        # As eight nodes would, each every 0.4 to 1.2 s, and three kinds of
-        # record every 5 s beside.
+        # No more than eight nodes would make: one probe each per 0.4 to 1.2 s,
+        # and reads of three kinds of record every 5 s.
         asked = deployment.store.calls.total() - before
         assert asked <= 8 * (10 / 0.8 + 3 * 2) * 1.25
         deployment.store.fault = StoreFault.NONE
-        back = await deployment.wait_for(
+        recovery_time = await deployment.wait_for(
             lambda: all(
                 running.node.feed.is_synchronized
                 for running in deployment.nodes
             )
         )
-        assert back < 5.0
+        assert recovery_time < 5.0
 
-    play(scenario, nodes=24, centres=1, settle=SETTLED, max_connections=60)
+    play(
+        scenario, nodes=24, centres=1, settle=SETTLE_TIME_S, max_connections=60
+    )
 
 
-def test_outage_costs_few_calls_and_no_new_watches() -> None:
+def test_outage_costs_few_calls_and_starts_no_new_watches() -> None:
     async def scenario(deployment: Deployment) -> None:
         before = deployment.store.calls.total()
         deployment.store.fault = StoreFault.BUSY
@@ -179,33 +181,37 @@
         assert all(node.feed.is_synchronized for node in nodes)
         assert sum(node.feed.is_feeding for node in nodes) == MIN_FEEDERS
         followers = len(nodes) - MIN_FEEDERS
-        # The feeders probe; each follower looks twice whether it is served.
+        # The feeders probe; each follower checks twice whether it is served.
         assert deployment.store.calls.total() - before <= 40 + 2 * followers
         await deployment.store.write('config', 'main', build_config(9))
-        took = await deployment.wait_for(
+        elapsed = await deployment.wait_for(
             lambda: all(node.view.version == 9 for node in nodes),
         )
-        assert took < 0.2
+        assert elapsed < 0.2
 
-    play(scenario, nodes=24, centres=1, settle=SETTLED, max_connections=60)
+    play(
+        scenario, nodes=24, centres=1, settle=SETTLE_TIME_S, max_connections=60
+    )
 
 
-def test_start_of_many_nodes_costs_few_calls_each() -> None:
+def test_start_of_many_nodes_costs_few_calls_per_node() -> None:
     async def scenario(deployment: Deployment) -> None:
         nodes = len(deployment.nodes)
-        # Four lists, a registration and the watches of the others; the
-        # feeders' own watches.
-        allowed = 8 * nodes + 20 * MIN_FEEDERS
-        assert deployment.store.calls.total() <= allowed
+        # Four lists, a registration and the first watches of each node; further
+        # watches of the feeders.
+        max_calls = 8 * nodes + 20 * MIN_FEEDERS
+        assert deployment.store.calls.total() <= max_calls
 
-    play(scenario, nodes=24, centres=1, settle=SETTLED, max_connections=60)
+    play(
+        scenario, nodes=24, centres=1, settle=SETTLE_TIME_S, max_connections=60
+    )
 
 
-def test_damaged_configuration_of_a_peer_is_told_and_not_taken() -> None:
+def test_corrupt_configuration_of_a_peer_is_not_applied() -> None:
     async def scenario(deployment: Deployment) -> None:
         node = deployment.nodes[0].node
-        news = News(b'no zlib', {})
-        await node.peers.apply_updates(news, node.settings.peer_address)
+        received = News(b'no zlib', {})
+        await node.peers.apply_updates(received, node.settings.peer_address)
         assert node.view.version == 1
 
     play(scenario)
--- a/deckdrum/fleet/tests/test_health.py
+++ b/deckdrum/fleet/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Which other nodes do not answer."""
+"""Detection of unresponsive nodes and of their recovery."""
 
 from collections.abc import Awaitable, Callable
 
@@ -7,7 +7,7 @@
 from deckdrum.control import Member
 from deckdrum.fleet.base import Message
 from deckdrum.fleet.health import (
-    CHECK_PAUSE,
+    CHECK_INTERVAL_S,
     HEARTBEAT_TIMEOUT_S,
     UNRESPONSIVE_RETRY_DELAY_S,
     PeerHealth,
@@ -22,22 +22,22 @@
 
 
 class Network:
-    """Other nodes, of which some answer."""
+    """Simulated peers, of which some do not answer."""
 
     def __init__(self) -> None:
-        self.silent = {1, 2}
+        self.unresponsive = {1, 2}
         self.asked: list[int] = []
 
     async def ask(
         self,
         address: Address,
-        question: Message,
+        request: Message,
         limit: float,
     ) -> Message | None:
-        """Return the answer of the node at an address."""
+        """Answer for the node at an address, or time out."""
         self.asked.append(address.port)
-        if address.port not in self.silent:
-            return question
+        if address.port not in self.unresponsive:
+            return request
         await curio.sleep(limit)
         return None
 
@@ -55,7 +55,7 @@
     run_virtual(main)
 
 
-def test_all_that_are_relied_on_are_asked_once() -> None:
+def test_all_required_nodes_are_asked_once() -> None:
     async def scenario(network: Network, health: PeerHealth) -> None:
         await health.check_all()
         await health.check_all()
@@ -68,21 +68,21 @@
     run(scenario)
 
 
-def test_silent_node_is_used_again_once_it_answers() -> None:
+def test_unresponsive_node_is_used_again_once_it_answers() -> None:
     async def scenario(network: Network, health: PeerHealth) -> None:
         assert not await health.check(PEERS[0])
         assert health.may_be_partitioned('n1')
-        network.silent.clear()
+        network.unresponsive.clear()
         await curio.sleep(UNRESPONSIVE_RETRY_DELAY_S + HEARTBEAT_TIMEOUT_S)
         assert not health.is_silent('n1')
 
     run(scenario)
 
 
-def test_silent_nodes_are_not_asked_by_each_check() -> None:
+def test_unresponsive_nodes_are_not_asked_by_each_check() -> None:
     async def scenario(network: Network, health: PeerHealth) -> None:
         await health.check_all()
-        await curio.sleep(CHECK_PAUSE)
+        await curio.sleep(CHECK_INTERVAL_S)
         before = len(network.asked)
         await health.check_all()
         await curio.sleep(0.01)
@@ -91,7 +91,7 @@
     run(scenario)
 
 
-def test_process_that_does_not_run_is_told_from_one_that_is_cut_off() -> None:
+def test_stopped_process_is_not_taken_for_a_network_partition() -> None:
     async def scenario(network: Network, health: PeerHealth) -> None:
         await health.note_failure(PEERS[0], ConnectionRefusedError())
         assert health.is_refusing('n1')
--- a/deckdrum/fleet/tests/test_messages.py
+++ b/deckdrum/fleet/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages between proxies, also from a peer that sends nonsense."""
+"""Encoding of messages, and decoding of invalid data from a peer."""
 
 import msgpack
 import pytest
@@ -13,14 +13,14 @@
     encode_message,
 )
 
-NONSENSE = st.recursive(
+INVALID_PARTS = st.recursive(
     st.none() | st.integers() | st.binary(max_size=5) | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=4),
     max_leaves=10,
 )
 
 
-def test_a_batch_with_statements_comes_back() -> None:
+def test_batch_with_statements_survives_a_round_trip() -> None:
     statement = PreparedStatement('s', 'dd_1', b'P')
     batch = RunBatch(
         b'x',
@@ -35,8 +35,8 @@
 
 
 @settings(derandomize=True)
-@given(NONSENSE)
-def test_nonsense_is_refused_or_harmless(parts: object) -> None:
+@given(INVALID_PARTS)
+def test_invalid_data_raises_only_message_errors(parts: object) -> None:
     try:
         decode_message(parts)
     except MessageError:
@@ -44,6 +44,6 @@
 
 
 @pytest.mark.parametrize('parts', [[], [99], [0], [3, 1, 2], {}, None, 'x'])
-def test_wrong_shapes(parts: object) -> None:
+def test_malformed_messages_are_rejected(parts: object) -> None:
     with pytest.raises(MessageError):
         decode_message(parts)
--- a/deckdrum/fleet/tests/test_peers.py
+++ b/deckdrum/fleet/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Questions to a peer that also serves channels."""
+"""Requests to a peer that also serves channels."""
 
 from deckdrum.bench.deployment import Deployment, Layout
 from deckdrum.fleet.membership import rank_keepers
@@ -10,7 +10,7 @@
 from deckdrum.utils.virtualtime import run_virtual
 
 
-def test_questions_are_answered_after_channels_were_kept() -> None:
+def test_requests_are_answered_while_idle_channels_are_pooled() -> None:
     async def main() -> list[bool]:
         deployment = Deployment(Layout(services=('stalls',)))
         await deployment.start()
@@ -18,16 +18,16 @@
         entry = deployment.proxies[ranked[2]]
         keeper = deployment.proxies[ranked[0]].membership.own
         client = await deployment.connect(entry.name)
-        found = []
+        checks = []
         for _ in range(3):
             await client.run('SELECT 1')
-            beat = await entry.peers.ask(keeper.endpoint, Heartbeat())
-            found.append(beat == Heartbeat())
-            question = AskProbe('stalls', 'stalls-1')
-            answer = await entry.peers.ask(keeper.endpoint, question)
-            found.append(answer == ProbeAnswer(True))
+            echo = await entry.peers.ask(keeper.endpoint, Heartbeat())
+            checks.append(echo == Heartbeat())
+            request = AskProbe('stalls', 'stalls-1')
+            answer = await entry.peers.ask(keeper.endpoint, request)
+            checks.append(answer == ProbeAnswer(True))
         await client.close()
         await deployment.close()
-        return found
+        return checks
 
     assert all(run_virtual(main))
--- a/deckdrum/fleet/update_following.py
+++ b/deckdrum/fleet/update_following.py
@@ -1,9 +1,9 @@
-"""Following a peer's watches of the store in place of own ones.
+"""Following the store's updates through a peer instead of watching the store.
 
-Each watch and each answer to one is a call that is paid for, and the store's
-rates grow more slowly than the fleet.  So where a data centre has many nodes,
-a few of them watch the store, and the others hear from these.  A node whose
-peers do not feed it watches the store by itself.
+Each watch and each answer to it is a billed call, and the store's rate limits
+grow more slowly than the fleet.  In a data centre with many nodes, a few nodes
+(feeders) therefore watch the store and send updates to the others (followers).
+A node that no peer feeds watches the store directly.
 """
 
 from collections.abc import Sequence
@@ -14,48 +14,47 @@
 
 from deckdrum.control import Member, StoreFeed
 from deckdrum.fleet.node_messages import FollowAnswer
-from deckdrum.fleet.node_peers import ASK_LIMIT, NodePeers
+from deckdrum.fleet.node_peers import ASK_TIMEOUT_S, NodePeers
 from deckdrum.fleet.settings import NodeSettings
 from deckdrum.utils import Journal
 from deckdrum.utils.ranks import weigh
 
-#: Nodes of one data centre from which on some follow others: with fewer,
-#: watching costs little, and each node is the better for its own watch.
+#: Smallest number of nodes in a data centre for which some follow others.  With
+#: fewer, watching is cheap and gives each node the shortest delay.
 MIN_NODES_TO_FOLLOW: Final = 8
-#: Fewest feeders of a data centre, so that one may go.
+#: Fewest feeders of a data centre; one of them may fail.
 MIN_FEEDERS: Final = 2
-#: Nodes for each feeder; bounds what a feeder's link and processor bear.
+#: Nodes per feeder; bounds a feeder's network and processor load.
 NODES_PER_FEEDER: Final = 24
-#: Longest wait of a feeder for news before it answers, in seconds; a feeder
-#: that froze is noticed after this and the limit of an answer.
+#: Longest wait of a feeder for updates before it answers.  An unresponsive
+#: feeder is noticed after this time plus the timeout of a request.
 FOLLOW_TIMEOUT_S: Final = 1.0
-#: How long a peer that does not feed is passed over, in seconds.
+#: How long a peer that does not feed this node is skipped.
 FEEDER_BACKOFF_S: Final = 3.0
-#: Pause between two looks of a node that watches by itself, in seconds.
-LOOK_PAUSE: Final = 0.5
-#: Wait for the registrations of nodes that start together, in seconds.
-#: A node that decides before it knows the others watches by itself, and begins
-#: four watches.
+#: Interval at which a node that watches directly looks for a feeder.
+RECHECK_INTERVAL_S: Final = 0.5
+#: Delay for the registrations of nodes that start at the same time.  A node
+#: that decides before it knows its peers begins four watches of its own.
 START_DELAY_S: Final = 1.2
-#: Pause between two looks whether the store answers this node while its feeder
-#: hears nothing from it, in seconds; grows with the nodes as other pauses do.
+#: Interval at which a node checks whether the store answers it while its feeder
+#: gets no answers; multiplied by `StoreFeed.sharing`.
 STORE_PROBE_INTERVAL_S: Final = 0.8
 _RANK_KEY: Final = 'feeders'
 
 
 class UpdateFollower:
-    """One node's choice between watching the store and following a peer.
+    """Chooses between watching the store and following a peer.
 
     Parameters
     ----------
     settings : NodeSettings
-        This node.
+        Settings of this node.
     feed : StoreFeed
-        Watches the store while nobody is followed.
+        Watches the store while no peer is followed.
     peers : NodePeers
         The other nodes.
     journal : Journal
-        For each change of the peer that is followed.
+        Logs each change of the followed peer.
     """
 
     def __init__(
@@ -69,51 +68,51 @@
         self._feed = feed
         self._peers = peers
         self._journal = journal
-        self._avoided_until: dict[str, float] = {}
-        self._followed = ''
-        self._probe_after = float('-inf')
+        self._skipped_until: dict[str, float] = {}
+        self._current_feeder = ''
+        self._next_probe_at = float('-inf')
 
     async def run(self) -> None:
-        """Follow a peer, or watch the store, for ever."""
+        """Follow a peer or watch the store, until cancelled."""
         await curio.sleep(START_DELAY_S)
         while True:
             feeder = await self._pick_feeder()
             if feeder is None:
                 await self._feed.watch_directly()
-                self._note_followed('')
-                await curio.sleep(LOOK_PAUSE)
+                self._log_feeder('')
+                await curio.sleep(RECHECK_INTERVAL_S)
             elif await self._follow(feeder):
-                self._note_followed(feeder.name)
+                self._log_feeder(feeder.name)
             else:
-                # The next feeder, or this node itself if there is none.
+                # Try the next feeder, or watch directly if there is none.
                 now = await curio.clock()
-                self._avoided_until[feeder.name] = now + FEEDER_BACKOFF_S
+                self._skipped_until[feeder.name] = now + FEEDER_BACKOFF_S
 
     async def _follow(self, feeder: Member) -> bool:
-        """Get news from a peer; tell whether to go on with it.
+        """Fetch updates from a peer; tell whether to keep following it.
 
-        One that hears nothing from the store is followed on if the store does
-        not answer this node either: otherwise each outage would have every
-        node watch by itself, and begin all its watches anew at the end.
+        A feeder that gets no answers from the store is kept if the store does
+        not answer this node either.  Otherwise all nodes would start watches of
+        their own at the end of each outage.
         """
         answer = await self._peers.ask(
             feeder.endpoint,
             self._peers.build_follow_request(FOLLOW_TIMEOUT_S),
-            FOLLOW_TIMEOUT_S + ASK_LIMIT,
+            FOLLOW_TIMEOUT_S + ASK_TIMEOUT_S,
         )
         if not isinstance(answer, FollowAnswer):
             return False
         if not answer.is_feeding:
-            return await self._is_store_absent()
+            return await self._is_store_unavailable()
         await self._peers.apply_updates(answer, feeder.endpoint)
         await self._feed.follow()
         return True
 
-    async def _is_store_absent(self) -> bool:
-        """Tell whether the store answers this node no more than its feeder."""
+    async def _is_store_unavailable(self) -> bool:
+        """Tell whether the store does not answer this node either."""
         now = await curio.clock()
-        if now >= self._probe_after:
-            self._probe_after = (
+        if now >= self._next_probe_at:
+            self._next_probe_at = (
                 now + STORE_PROBE_INTERVAL_S * self._feed.sharing
             )
             if await self._feed.probe():
@@ -122,29 +121,29 @@
         return True
 
     async def _pick_feeder(self) -> Member | None:
-        """Return the peer to follow; None if this node is to watch."""
+        """Return the peer to follow; None to watch the store directly."""
         own = self._settings.name
-        near = self._list_near()
-        self._feed.sharing = max(1, (len(near) + 1) / MIN_NODES_TO_FOLLOW)
-        if len(near) + 1 < MIN_NODES_TO_FOLLOW:
+        neighbours = self._list_neighbours()
+        self._feed.sharing = max(1, (len(neighbours) + 1) / MIN_NODES_TO_FOLLOW)
+        if len(neighbours) + 1 < MIN_NODES_TO_FOLLOW:
             return None
-        feeders = _rank_feeders((own, *near))
+        feeders = _choose_feeders((own, *neighbours))
         if own in feeders:
             return None
         now = await curio.clock()
-        ready = [
-            near[name]
+        candidates = [
+            neighbours[name]
             for name in feeders
-            if self._avoided_until.get(name, 0) <= now
+            if self._skipped_until.get(name, 0) <= now
         ]
         return min(
-            ready,
+            candidates,
             key=lambda member: weigh(own, member.name),
             default=None,
         )
 
-    def _list_near(self) -> dict[str, Member]:
-        """Return the other nodes of this data centre that stay, by name."""
+    def _list_neighbours(self) -> dict[str, Member]:
+        """Return the other nodes of this data centre, except leaving ones."""
         return {
             member.name: member
             for member in self._peers.others
@@ -152,16 +151,16 @@
             and not member.is_leaving
         }
 
-    def _note_followed(self, name: str) -> None:
-        if name != self._followed:
+    def _log_feeder(self, name: str) -> None:
+        if name != self._current_feeder:
             self._journal.record('news.followed', peer=name or 'nobody')
-            self._followed = name
+            self._current_feeder = name
 
 
-def _rank_feeders(names: Sequence[str]) -> list[str]:
-    """Return which nodes of a data centre watch the store for the others.
+def _choose_feeders(names: Sequence[str]) -> list[str]:
+    """Return the nodes of a data centre that watch the store for the others.
 
-    Every node comes to the same ones, as far as it knows the same nodes.
+    The result is the same on all nodes that know the same members.
     """
     count = max(MIN_FEEDERS, len(names) // NODES_PER_FEEDER)
     return sorted(names, key=partial(weigh, _RANK_KEY))[:count]
--- a/deckdrum/limits/__init__.py
+++ b/deckdrum/limits/__init__.py
@@ -1,4 +1,7 @@
-"""Keeping the limits of workspaces over all nodes, in touch or not."""
+"""Operation limits of workspaces, enforced across all nodes.
+
+They also hold, within a tolerance, during network partitions.
+"""
 
 from deckdrum.limits.client import LimitClient
 from deckdrum.limits.counting import LimitCounter
--- a/deckdrum/limits/client.py
+++ b/deckdrum/limits/client.py
@@ -1,4 +1,4 @@
-"""Asking whether a workspace may begin one more operation."""
+"""Requests for permission to begin an operation of a workspace."""
 
 from typing import Final
 
@@ -15,30 +15,30 @@
 from deckdrum.utils.counters import Counters
 from deckdrum.workspaces import Workspace
 
-#: Longest wait for a keeper's answer, in seconds: many round trips between data
-#: centres (1 to 3 ms), and a part of the time in which callers want an answer.
+#: Longest wait for a coordinator's answer; allows for many round trips between
+#: data centres (1 to 3 ms).
 COORDINATOR_TIMEOUT_S: Final = 0.1
-#: Keepers that are asked in vain for one operation.
-MOST_ASKED: Final = 2
+#: Nodes asked to count one operation: the coordinator and its stand-ins.
+MAX_COORDINATORS_ASKED: Final = 2
 
 
 class LimitClient:
-    """Lets the callers of a node begin operations within limits.
+    """Enforces the limits of workspaces for the callers of a node.
 
     Parameters
     ----------
     node : str
-        This node.
+        Name of this node.
     view : ControlView
-        Knows the members.
+        Lists the members.
     peers : NodePeers
-        The other nodes.
+        Sends requests to the other nodes.
     counter : LimitCounter
-        Counts here, and knows who counts elsewhere.
+        Counts operations on this node and ranks the coordinators.
     journal : Journal
-        For operations that were turned away.
+        Logs refused operations.
     counters : Counters
-        For metrics.
+        Counters of the metrics.
     """
 
     def __init__(
@@ -56,82 +56,85 @@
         self._counter = counter
         self._journal = journal
         self._counters = counters
-        self._alone: dict[str, TokenBucket] = {}
-        self._refused = 0
+        self._isolated_allowances: dict[str, TokenBucket] = {}
+        self._refused_count = 0
 
     async def try_begin(self, workspace: Workspace) -> Refusal | None:
-        """Begin an operation of a workspace; return a refusal if it may not."""
+        """Count an operation of a workspace, or return a refusal."""
         if workspace.rate is None:
             return None
-        wait = await self._ask_keepers(workspace)
+        wait = await self._ask_coordinators(workspace)
         if wait is None:
-            return await self._spend_alone(workspace)
+            return await self._use_isolated_allowance(workspace)
         if not wait:
             return None
         return self._refuse(Code.LIMIT_REACHED, workspace, wait)
 
-    async def _ask_keepers(self, workspace: Workspace) -> float | None:
-        """Return when an operation may begin, None if no keeper says so.
+    async def _ask_coordinators(self, workspace: Workspace) -> float | None:
+        """Ask the coordinator or its stand-ins to count an operation.
 
         Returns
         -------
         float or None
-            In seconds; 0 if it has begun.
+            Time until the operation may begin, in seconds; 0 if it has been
+            counted, None if no coordinator answered.
         """
-        asked_as = LimitRole.KEEPER
-        asked = 0
+        role = LimitRole.KEEPER
+        attempts = 0
         for name in self._counter.rank(workspace.name):
             if name == self._node:
-                return await self._counter.take(workspace, asked_as)
+                return await self._counter.try_acquire(workspace, role)
             if not self._peers.health.is_silent(name):
-                if asked >= MOST_ASKED:
+                if attempts >= MAX_COORDINATORS_ASKED:
                     return None
-                asked += 1
-                answer = await self._ask(name, workspace, asked_as)
+                attempts += 1
+                answer = await self._ask_coordinator(name, workspace, role)
                 if answer is not None and answer.is_kept:
                     return answer.wait
-            asked_as = self._find_next(name, asked_as)
+            role = self._get_next_role(name, role)
         return None
 
-    def _find_next(self, name: str, asked_as: LimitRole) -> LimitRole:
-        """Return what the next keeper is, after one that does not count."""
+    def _get_next_role(self, name: str, role: LimitRole) -> LimitRole:
+        """Return the role of the next node, after one that does not count."""
         may_be_partitioned = self._peers.health.may_be_partitioned(name)
-        if may_be_partitioned or asked_as is LimitRole.DEPUTY:
-            # It may count on for others.
+        if may_be_partitioned or role is LimitRole.DEPUTY:
+            # The unreachable coordinator may still count for other nodes.
             return LimitRole.DEPUTY
         return LimitRole.SUCCESSOR
 
-    async def _ask(
+    async def _ask_coordinator(
         self,
         name: str,
         workspace: Workspace,
-        asked_as: LimitRole,
+        role: LimitRole,
     ) -> LimitAnswer | None:
-        keeper = self._view.members.get(name)
-        if keeper is None:
+        coordinator = self._view.members.get(name)
+        if coordinator is None:
             return None
-        question = AskLimit(workspace.name, asked_as)
+        request = AskLimit(workspace.name, role)
         answer = await self._peers.ask(
-            keeper.endpoint, question, COORDINATOR_TIMEOUT_S
+            coordinator.endpoint, request, COORDINATOR_TIMEOUT_S
         )
         if isinstance(answer, LimitAnswer):
             return answer
-        error: Exception = TimeoutError('no answer about a limit')
+        error: Exception = TimeoutError('no answer to a limit request')
         if isinstance(answer, ConnectionRefusedError):
             error = answer
-        await self._peers.health.note_failure(keeper, error)
+        await self._peers.health.note_failure(coordinator, error)
         await self._peers.health.check_all()
         return None
 
-    async def _spend_alone(self, workspace: Workspace) -> Refusal | None:
-        """Begin one of the few operations of a node that reaches no keeper."""
+    async def _use_isolated_allowance(
+        self, workspace: Workspace
+    ) -> Refusal | None:
+        """Use the small allowance of a node that reaches no coordinator."""
         nodes = len(self._view.members)
         if not nodes:
-            # Its part cannot be told: each of very many may be in this state.
+            # The share of this node is unknown without the number of nodes.
             return self._refuse(Code.LIMIT_UNKNOWN, workspace, 0)
         now = await curio.clock()
         rate = workspace.rate or 0
-        at_once, alone_rate = compute_isolated_allowance(
+        isolated_burst, isolated_rate = compute_isolated_allowance(
             workspace.name,
             self._node,
             rate,
@@ -139,11 +142,11 @@
             self._counter.tolerance,
             nodes,
         )
-        allowance = self._alone.get(workspace.name)
+        allowance = self._isolated_allowances.get(workspace.name)
         if allowance is None:
-            allowance = TokenBucket(at_once, now)
-            self._alone[workspace.name] = allowance
-        if not allowance.take(alone_rate, at_once, now):
+            allowance = TokenBucket(isolated_burst, now)
+            self._isolated_allowances[workspace.name] = allowance
+        if not allowance.take(isolated_rate, isolated_burst, now):
             self._counters.count('limits_alone')
             return None
         return self._refuse(Code.LIMIT_UNKNOWN, workspace, 0)
@@ -154,12 +157,12 @@
         workspace: Workspace,
         wait: float,
     ) -> Refusal:
-        self._refused += 1
+        self._refused_count += 1
         self._counters.count_limited(workspace.name, code)
         refusal = refuse(
             code,
-            f'workspace {workspace.name}, {workspace.rate} a second',
-            compute_retry_after(wait, self._refused),
+            f'workspace {workspace.name}: limit {workspace.rate} operations/s',
+            compute_retry_after(wait, self._refused_count),
         )
         self._journal.record_often(
             'limit.refused',
--- a/deckdrum/limits/counting.py
+++ b/deckdrum/limits/counting.py
@@ -1,4 +1,4 @@
-"""Counting operations of workspaces, at the nodes that keep their limits."""
+"""Counting of operations on the coordinators of workspace limits."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -19,28 +19,28 @@
 )
 from deckdrum.workspaces import Workspace
 
-#: Longest wait for a keeper's answer that is asked for on behalf of a peer, in
-#: seconds; below the peer's own patience.
+#: Longest wait for a coordinator's answer on behalf of a peer; shorter than the
+#: timeout of the peer's own request.
 RELAY_TIMEOUT_S: Final = 0.05
-#: How long a stand-in's count is kept without being asked, in seconds.  What
-#: was not used meanwhile was used at the keeper.
+#: How long the unused count of a stand-in remains valid.  After that, the
+#: coordinator may have counted operations that the stand-in does not know of.
 STAND_IN_LIFETIME_S: Final = 2.0
-_NOT_HERE: Final = LimitAnswer(is_kept=False, wait=0)
+_NOT_COUNTED_HERE: Final = LimitAnswer(is_kept=False, wait=0)
 
 
 class LimitCounter:
-    """Counts for the workspaces that this node keeps the limits of.
+    """Counts operations of the workspaces that this node coordinates.
 
     Parameters
     ----------
     node : str
-        This node.
+        Name of this node.
     view : ControlView
-        Knows the members and the limits in force.
+        Lists the members and the current limits.
     peers : NodePeers
-        The other nodes.
+        Sends requests to the other nodes.
     tolerance : Tolerance
-        What may be begun beyond a limit.
+        How far a limit may be exceeded.
     """
 
     def __init__(
@@ -55,113 +55,122 @@
         self._node = node
         self._view = view
         self._peers = peers
-        self._keepers: tuple[str, ...] = ()
-        self._ranks: dict[str, list[str]] = {}
-        #: Since when this node keeps what it keeps, in kernel seconds.
-        self._since: float = 0
-        self._kept: dict[str, TokenBucket] = {}
-        self._spare: dict[str, TokenBucket] = {}
+        self._coordinators: tuple[str, ...] = ()
+        self._rankings: dict[str, list[str]] = {}
+        #: When the coordinators last changed, on curio's clock.
+        self._coordinating_since: float = 0
+        self._allowances: dict[str, TokenBucket] = {}
+        self._deputy_allowances: dict[str, TokenBucket] = {}
 
     async def apply_members(self) -> None:
-        """Take over which nodes keep limits."""
+        """Choose the coordinators among the current members."""
         members = self._view.members
-        keepers = select_coordinators(
+        coordinators = select_coordinators(
             {
                 name: member.data_centre
                 for name, member in members.items()
                 if not member.is_leaving and not member.is_gone
             },
         )
-        if keepers == self._keepers:
+        if coordinators == self._coordinators:
             return
-        self._keepers = keepers
-        self._ranks.clear()
-        self._since = await curio.clock()
-        for workspace in list(self._kept):
-            # Another node counts on from here.
+        self._coordinators = coordinators
+        self._rankings.clear()
+        self._coordinating_since = await curio.clock()
+        for workspace in list(self._allowances):
+            # Another node is the coordinator now.
             if self.rank(workspace)[:1] != [self._node]:
-                del self._kept[workspace]
+                del self._allowances[workspace]
         self._peers.health.set_required_peers(
-            'limits', self._list_others(members)
+            'limits', self._list_other_coordinators(members)
         )
 
     def rank(self, workspace: str) -> list[str]:
-        """Return who keeps a workspace's limit, and then who stands in."""
-        ranked = self._ranks.get(workspace)
+        """Return the coordinator of a workspace, followed by its stand-ins."""
+        ranked = self._rankings.get(workspace)
         if ranked is None:
-            ranked = rank_keepers(workspace, self._keepers)
-            self._ranks[workspace] = ranked
+            ranked = rank_keepers(workspace, self._coordinators)
+            self._rankings[workspace] = ranked
         return ranked
 
-    async def answer(self, question: AskLimit) -> LimitAnswer:
-        """Answer a node that wants to begin an operation."""
-        workspace = self._find_workspace(question.workspace)
+    async def answer(self, request: AskLimit) -> LimitAnswer:
+        """Answer a node that asks to begin an operation."""
+        workspace = self._find_workspace(request.workspace)
         if self.is_stopping or workspace is None or workspace.rate is None:
-            return _NOT_HERE
-        asked_as = LimitRole(question.asked_as)
-        if asked_as is LimitRole.DEPUTY:
-            answer = await self._relay(question)
+            return _NOT_COUNTED_HERE
+        role = LimitRole(request.asked_as)
+        if role is LimitRole.DEPUTY:
+            answer = await self._relay(request)
             if answer is not None:
                 return answer
         return LimitAnswer(
             is_kept=True,
-            wait=await self.take(workspace, asked_as),
+            wait=await self.try_acquire(workspace, role),
         )
 
-    async def take(self, workspace: Workspace, asked_as: LimitRole) -> float:
-        """Begin an operation, or return when one may be, in seconds.
+    async def try_acquire(self, workspace: Workspace, role: LimitRole) -> float:
+        """Count an operation if it may begin now.
 
         Parameters
         ----------
         workspace : Workspace
-            Whose; it has a limit.
-        asked_as : AskedAs
-            What this node is to the one that asks.
+            Workspace of the operation; it must have a limit.
+        role : LimitRole
+            Role in which this node is asked.
+
+        Returns
+        -------
+        float
+            Time until an operation may begin, in seconds; 0 if it has been
+            counted.
         """
         now = await curio.clock()
         rate = workspace.rate or 0
-        is_first = self.rank(workspace.name)[:1] == [self._node]
-        if is_first or asked_as is LimitRole.SUCCESSOR:
-            allowance = self._find_kept(workspace.name, now, is_first=is_first)
+        is_coordinator = self.rank(workspace.name)[:1] == [self._node]
+        if is_coordinator or role is LimitRole.SUCCESSOR:
+            allowance = self._get_allowance(
+                workspace.name, now, is_coordinator=is_coordinator
+            )
             burst = compute_coordinator_burst(
                 rate, workspace.burst, self.tolerance
             )
             return allowance.take(rate, burst, now)
-        spare = self._spare.get(workspace.name)
-        if spare is None:
-            spare = TokenBucket(INITIAL_TOKENS, now)
-            self._spare[workspace.name] = spare
-        spare_rate = compute_deputy_rate(rate, workspace.burst, self.tolerance)
-        return spare.take(spare_rate, INITIAL_TOKENS, now)
-
-    def _find_kept(
+        deputy_allowance = self._deputy_allowances.get(workspace.name)
+        if deputy_allowance is None:
+            deputy_allowance = TokenBucket(INITIAL_TOKENS, now)
+            self._deputy_allowances[workspace.name] = deputy_allowance
+        deputy_rate = compute_deputy_rate(rate, workspace.burst, self.tolerance)
+        return deputy_allowance.take(deputy_rate, INITIAL_TOKENS, now)
+
+    def _get_allowance(
         self,
         name: str,
         now: float,
         *,
-        is_first: bool,
+        is_coordinator: bool,
     ) -> TokenBucket:
-        kept = self._kept.get(name)
+        allowance = self._allowances.get(name)
         is_stale = (
-            kept is not None and now - kept.asked_at > STAND_IN_LIFETIME_S
+            allowance is not None
+            and now - allowance.asked_at > STAND_IN_LIFETIME_S
         )
-        if kept is None or (is_stale and not is_first):
-            since = self._since if is_first else now
-            kept = TokenBucket(INITIAL_TOKENS, since)
-            self._kept[name] = kept
-        return kept
-
-    async def _relay(self, question: AskLimit) -> LimitAnswer | None:
-        """Ask the keeper, which the other node does not reach."""
+        if allowance is None or (is_stale and not is_coordinator):
+            counted_from = self._coordinating_since if is_coordinator else now
+            allowance = TokenBucket(INITIAL_TOKENS, counted_from)
+            self._allowances[name] = allowance
+        return allowance
+
+    async def _relay(self, request: AskLimit) -> LimitAnswer | None:
+        """Forward a request to the coordinator for a node that is cut off."""
         members = self._view.members
-        keeper = members.get(next(iter(self.rank(question.workspace)), ''))
-        if keeper is None or keeper.name == self._node:
+        coordinator = members.get(next(iter(self.rank(request.workspace)), ''))
+        if coordinator is None or coordinator.name == self._node:
             return None
-        if self._peers.health.is_silent(keeper.name):
+        if self._peers.health.is_silent(coordinator.name):
             return None
-        relayed = AskLimit(question.workspace, LimitRole.KEEPER)
+        forwarded = AskLimit(request.workspace, LimitRole.KEEPER)
         answer = await self._peers.ask(
-            keeper.endpoint, relayed, RELAY_TIMEOUT_S
+            coordinator.endpoint, forwarded, RELAY_TIMEOUT_S
         )
         if isinstance(answer, LimitAnswer) and answer.is_kept:
             return answer
@@ -172,5 +181,9 @@
         book = configuration.workspaces if configuration else None
         return book.workspaces.get(name) if book else None
 
-    def _list_others(self, members: Mapping[str, Member]) -> list[Member]:
-        return [members[name] for name in self._keepers if name != self._node]
+    def _list_other_coordinators(
+        self, members: Mapping[str, Member]
+    ) -> list[Member]:
+        return [
+            members[name] for name in self._coordinators if name != self._node
+        ]
--- a/deckdrum/limits/tests/test_limits.py
+++ b/deckdrum/limits/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits over many nodes: the worst window, and what is refused below them."""
+"""Limits across many nodes: the worst window, and refusals below the limit."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -15,19 +15,19 @@
 
 NODES = 200
 WINDOW = DEFAULT_TOLERANCE.window
-#: Times of a workspace's usual, which is below its limit by 1.6, that a hot one
-#: sends.
-HOT = 7.5
-USUAL = 1 / 1.6
+#: Rate of an overactive workspace, as a multiple of its usual rate.
+OVERLOAD_FACTOR = 7.5
+#: Usual rate of a workspace, as a fraction of its limit.
+USUAL_FRACTION = 1 / 1.6
 GROWERS = Workspace('growers', 12, 12)
 LARGE = Workspace('growers', 66, 66)
 SMALL = Workspace('growers', 3, 3)
 
-Trouble = Callable[[LimitFleet], Awaitable[None]]
+Fault = Callable[[LimitFleet], Awaitable[None]]
 
 
-def find_allowed(workspace: Workspace) -> float:
-    """Return the most operations that may be begun in a window."""
+def compute_max_operations(workspace: Workspace) -> float:
+    """Return the largest permitted number of operations in a window."""
     rate = workspace.rate or 0
     return (
         rate * WINDOW
@@ -42,7 +42,7 @@
     seconds: float,
     seed: int = 7,
 ) -> None:
-    """Have callers of all nodes begin operations at random times."""
+    """Begin operations at random times on random nodes."""
     randomness = Random(seed)
     ends = await curio.clock() + seconds
     while await curio.clock() < ends:
@@ -53,14 +53,14 @@
     await curio.sleep(1)
 
 
-async def _cut_third(fleet: LimitFleet) -> None:
-    """Cut a third of the nodes off from the others, each by itself."""
+async def _isolate_third(fleet: LimitFleet) -> None:
+    """Isolate a third of the nodes, each from all others."""
     fleet.parts = [{number} for number in range(0, NODES, 3)]
     await curio.sleep(8)
     fleet.parts = []
 
 
-async def _cut_all(fleet: LimitFleet) -> None:
+async def _isolate_all(fleet: LimitFleet) -> None:
     fleet.parts = [{number} for number in range(NODES)]
     await curio.sleep(8)
     fleet.parts = []
@@ -79,8 +79,8 @@
         await fleet.restart(number)
 
 
-async def _kill_keepers(fleet: LimitFleet) -> None:
-    """Kill the keeper of the workspace twice, and its successor beside."""
+async def _kill_coordinators(fleet: LimitFleet) -> None:
+    """Kill the coordinator, then the coordinator and its successor."""
     ranked = fleet.nodes[0].counter.rank(fleet.workspace.name)
     for names in (ranked[:1], ranked[:2]):
         numbers = [int(name[1:]) for name in names]
@@ -91,56 +91,56 @@
         await curio.sleep(1.5)
 
 
-async def _stay_calm(fleet: LimitFleet) -> None:
+async def _inject_nothing(fleet: LimitFleet) -> None:
     await curio.sleep(8)
 
 
-TROUBLES = (
-    _stay_calm,
-    _cut_third,
-    _cut_all,
+FAULTS = (
+    _inject_nothing,
+    _isolate_third,
+    _isolate_all,
     _split_in_half,
     _kill_all,
-    _kill_keepers,
+    _kill_coordinators,
 )
 
 
 @pytest.mark.parametrize('workspace', [SMALL, GROWERS, LARGE])
-@pytest.mark.parametrize('trouble', TROUBLES)
-def test_worst_window_of_a_hot_workspace_is_within_the_tolerance(
-    trouble: Trouble,
+@pytest.mark.parametrize('fault', FAULTS)
+def test_worst_window_under_overload_is_within_the_tolerance(
+    fault: Fault,
     workspace: Workspace,
 ) -> None:
     async def scenario() -> None:
         fleet = LimitFleet(NODES, workspace)
         await fleet.start()
-        rate = HOT * USUAL * (workspace.rate or 0)
+        rate = OVERLOAD_FACTOR * USUAL_FRACTION * (workspace.rate or 0)
         sending = await curio.spawn(_send, fleet, rate, 16)
         await curio.sleep(4)
-        await trouble(fleet)
+        await fault(fleet)
         await sending.join()
         worst = find_worst_window(fleet.begun, WINDOW)
-        assert worst <= find_allowed(workspace)
-        # A limit is no ban: what may be begun is begun.
+        assert worst <= compute_max_operations(workspace)
+        # The workspace still gets most of its limit.
         assert worst >= (workspace.rate or 0) * WINDOW * 0.9
 
     run_virtual(scenario)
 
 
 @pytest.mark.parametrize('workspace', [SMALL, GROWERS, LARGE])
-def test_usual_work_is_not_refused(workspace: Workspace) -> None:
+def test_usual_load_is_rarely_refused(workspace: Workspace) -> None:
     async def scenario() -> None:
         fleet = LimitFleet(NODES, workspace)
         await fleet.start()
         await curio.sleep(5)
-        await _send(fleet, USUAL * (workspace.rate or 0), 60)
+        await _send(fleet, USUAL_FRACTION * (workspace.rate or 0), 60)
         asked = len(fleet.begun) + fleet.refused
         assert fleet.refused <= 0.02 * asked
 
     run_virtual(scenario)
 
 
-def test_lowered_limit_binds_within_a_window() -> None:
+def test_lowered_limit_holds_in_each_later_window() -> None:
     async def scenario() -> None:
         fleet = LimitFleet(NODES, LARGE)
         await fleet.start()
@@ -150,12 +150,14 @@
         lowered_at = await curio.clock()
         await sending.join()
         after = [time for time in fleet.begun if time > lowered_at]
-        assert find_worst_window(after, WINDOW) <= find_allowed(GROWERS)
+        assert find_worst_window(after, WINDOW) <= compute_max_operations(
+            GROWERS
+        )
 
     run_virtual(scenario)
 
 
-def test_refusal_of_a_limit_is_true_and_tells_when_to_come_back() -> None:
+def test_refusal_reports_that_nothing_ran_and_when_to_retry() -> None:
     async def scenario() -> None:
         fleet = LimitFleet(NODES, SMALL)
         await fleet.start()
@@ -165,13 +167,13 @@
         assert refusal.code is Code.LIMIT_REACHED
         assert refusal.fate is Fate.NOT_RUN
         assert refusal.retry_after is not None
-        # A third of a second until the next may begin, spread over callers.
+        # The next operation may begin after 1/3 s; retries are spread out.
         assert 0.1 < refusal.retry_after < 0.7
 
     run_virtual(scenario)
 
 
-def test_node_that_reaches_no_keeper_refuses_at_once() -> None:
+def test_node_that_reaches_no_coordinator_refuses_at_once() -> None:
     async def scenario() -> None:
         fleet = LimitFleet(NODES, GROWERS)
         await fleet.start()
@@ -188,31 +190,31 @@
     run_virtual(scenario)
 
 
-def test_limit_counts_operations_of_all_nodes_and_not_statements() -> None:
+def test_limit_counts_transactions_of_all_nodes_and_not_statements() -> None:
     async def scenario(deployment: Deployment) -> None:
         tenant = build_tenant('growers', 'key', ratePerS=2, burst=4)
         await deployment.configure(2, tenants=[tenant])
         await curio.sleep(3)
-        words = []
+        codes = []
         for number in range(30):
             client = await deployment.connect(CURRENT, number % 3, 'key')
             begun = await client.ask('BEGIN')
-            words.append(begun.text.partition(' ')[0])
+            codes.append(begun.text.partition(' ')[0])
             if begun.is_done:
                 for _ in range(3):
                     assert (await client.ask('READ a')).is_done
                 assert (await client.ask('COMMIT')).is_done
-        # A burst of four and a part of the tolerance, at once.
-        assert 9 <= words.count('-') <= 12
-        assert set(words) == {'-', 'TOOMANY'}
-        assert len(deployment.group.ran) == 4 * words.count('-')
+        # A burst of four, plus a part of the tolerance.
+        assert 9 <= codes.count('-') <= 12
+        assert set(codes) == {'-', 'TOOMANY'}
+        assert len(deployment.group.ran) == 4 * codes.count('-')
         await curio.sleep(2)
         assert (await client.ask('READ a')).is_done
 
     play(scenario)
 
 
-def test_limit_of_nothing_is_refused_with_a_time_to_come_back() -> None:
+def test_refusal_with_a_limit_of_zero_tells_when_to_retry() -> None:
     async def scenario(deployment: Deployment) -> None:
         tenant = build_tenant('growers', 'key', ratePerS=0, burst=0)
         await deployment.configure(2, tenants=[tenant])
@@ -225,7 +227,7 @@
     play(scenario)
 
 
-def test_nodes_that_know_no_others_begin_nothing() -> None:
+def test_nodes_without_known_members_begin_no_operations() -> None:
     async def scenario() -> None:
         fleet = LimitFleet(NODES, LARGE)
         await fleet.limit(LARGE)
