--- a/deckdrum/forwarding/__init__.py
+++ b/deckdrum/forwarding/__init__.py
@@ -1,4 +1,4 @@
-"""Handing callers' statements to the nodes that hold connections."""
+"""Forwarding callers' statements to the nodes that hold connections."""
 
 from deckdrum.forwarding.forwarder import Forwarder
 from deckdrum.forwarding.handler import ForwardedStatementHandler
--- a/deckdrum/forwarding/admission.py
+++ b/deckdrum/forwarding/admission.py
@@ -1,8 +1,8 @@
-"""Whether a holder runs what another node hands to it.
+"""Access check of statements that other nodes forward to a holder.
 
-Both nodes have a configuration, and either may be the newer one.  What the
-holder's own forbids is never run; what only the other node's allows is run by
-a holder that has that version.
+The configuration of either node may be newer.  A statement that the holder's
+configuration forbids is never run; one that only a newer configuration allows
+is refused until the holder has that version.
 """
 
 from deckdrum.control import Access, Configuration, Route, find_access
@@ -15,16 +15,16 @@
     message: Forward,
     route: Route,
 ) -> Refusal | None:
-    """Return why a statement is not run here, None if it may be.
+    """Return the refusal of a forwarded statement, None if it may run.
 
     Parameters
     ----------
     configuration : Configuration or None
-        The one in force at this node.
+        The current configuration of this node.
     message : Forward
-        The statement, with the workspace that the other node has found.
+        The statement, with the workspace that the sender has found.
     route : Route
-        The route that the other node has found.
+        The route that the sender has found.
     """
     if configuration is None:
         return refuse(Code.NOT_READY, 'no configuration here yet')
--- a/deckdrum/forwarding/encoding.py
+++ b/deckdrum/forwarding/encoding.py
@@ -1,4 +1,4 @@
-"""Statements and their outcomes as they stand in messages between nodes."""
+"""Encoding of statements and outcomes in messages between nodes."""
 
 from collections.abc import Sequence
 from dataclasses import astuple
@@ -30,7 +30,7 @@
 _READ: Final = 'read'
 _WRITE: Final = 'write'
 _Types = MappingProxyType[str, type[Any]]
-#: Operations that are handed over, by their names in messages.
+#: Operations that can be forwarded, by their names in messages.
 _OPERATIONS: Final[_Types] = MappingProxyType(
     {
         'run': Run,
@@ -52,20 +52,20 @@
     begin: Begin | None,
     version: int,
 ) -> Forward:
-    """Return the message that hands a statement over.
+    """Return the message that forwards a statement.
 
     Parameters
     ----------
     request : Request
         The statement, or the first one of a transaction.
     route : Route
-        What binds it.
+        Its route.
     state : SessionState
-        Of the caller's session.
+        State of the caller's session.
     begin : Begin or None
         The transaction that it opens.
     version : int
-        Version of the configuration that binds it.
+        Version of the configuration that provided the route.
     """
     opening = ''
     if begin is not None:
@@ -102,7 +102,7 @@
     Raises
     ------
     MessageError
-        If it is none that may be handed over.
+        If the operation is unknown or malformed.
     """
     try:
         name, *fields = message.operation
@@ -110,7 +110,9 @@
         if isinstance(operation, Run):
             operation = Run(Effect(operation.effect), operation.text)
     except (KeyError, TypeError, ValueError) as error:
-        raise MessageError(f'no operation: {message.operation!r}') from error
+        raise MessageError(
+            f'invalid operation: {message.operation!r}',
+        ) from error
     return Request(message.request, operation)
 
 
@@ -120,7 +122,7 @@
     Raises
     ------
     MessageError
-        If it is none.
+        If it is malformed.
     """
     if not message.statement:
         return None
@@ -128,16 +130,18 @@
         effect, shape = message.statement
         return PreparedStatement(Effect(effect), shape)
     except ValueError as error:
-        raise MessageError(f'no statement: {message.statement!r}') from error
+        raise MessageError(
+            f'invalid prepared statement: {message.statement!r}',
+        ) from error
 
 
 def decode_route(message: Forward) -> Route:
-    """Return the route that binds a statement.
+    """Return the route of a statement.
 
     Raises
     ------
     MessageError
-        If it is none.
+        If it is malformed.
     """
     try:
         database, service, guarantee, *limits = message.route
@@ -145,7 +149,7 @@
             database, service, ConsistencyGuarantee(guarantee), *limits
         )
     except (TypeError, ValueError) as error:
-        raise MessageError(f'no route: {message.route!r}') from error
+        raise MessageError(f'invalid route: {message.route!r}') from error
 
 
 def decode_begin(message: Forward) -> Begin | None:
@@ -154,12 +158,12 @@
 
 
 def decode_position(parts: Sequence[int]) -> Position | None:
-    """Return a position from a message, None if it has none."""
+    """Return the position in a message, None if there is none."""
     return Position(*parts) if parts else None
 
 
 def encode_outcome(outcome: Outcome, *, is_open: bool) -> ForwardAnswer:
-    """Return the message that tells what became of a statement."""
+    """Return the message with the outcome of a statement."""
     if isinstance(outcome, Refusal):
         return ForwardAnswer(
             is_open,
@@ -180,7 +184,7 @@
 
 
 def decode_outcome(message: ForwardAnswer) -> Outcome:
-    """Return what became of a statement.
+    """Return the outcome of a statement.
 
     Raises
     ------
@@ -198,7 +202,7 @@
     try:
         code = Code(message.code)
     except ValueError as error:
-        raise MessageError(f'no code: {message.code!r}') from error
+        raise MessageError(f'unknown code: {message.code!r}') from error
     return Refusal(code, CODES[code].fate, message.text, message.retry_after)
 
 
--- a/deckdrum/forwarding/forwarder.py
+++ b/deckdrum/forwarding/forwarder.py
@@ -1,7 +1,7 @@
-"""Handing statements to a node that holds connections to their group.
+"""Forwarding statements to a node that holds connections to their group.
 
-A statement that may have run is handed over once, unless it leaves nothing
-behind.  One that was not sent goes to the next holder.
+A statement that may have run on a holder is forwarded again only if it has no
+lasting effect.  One that was not sent is forwarded to the next holder.
 """
 
 from dataclasses import dataclass, field, replace
@@ -26,26 +26,25 @@
 from deckdrum.serving.service import ServiceRuntime
 from deckdrum.serving.state import SessionState
 
-#: Time kept at the end of a statement's limit for the answer to arrive, in s:
-#: less than the holder keeps, so that its word comes first.
+#: Part of a statement's timeout reserved for the response to arrive; less than
+#: the holder's own reserve, so that the holder reports a timeout first.
 FORWARD_MARGIN_S: Final = 0.02
-#: Part of the time after which what leaves nothing behind is handed to another
-#: holder although the first is alive: its stream may have gone silent.
+#: Fraction of the timeout after which a repeatable statement is forwarded to
+#: another holder even if the first is alive, since its stream may be broken.
 ATTEMPT_TIMEOUT_FRACTION: Final = 0.4
-#: Pause before the holders are tried again while the processes of some do not
-#: run, and longest time of that, in seconds: nodes that lost power together
-#: come back within half a second of one another.
+#: Delay between retries, and their longest duration, while some holders are
+#: restarting.  Nodes that lost power together return within half a second.
 HOLDER_RETRY_DELAY_S: Final = 0.05
 HOLDER_RETRY_TIMEOUT_S: Final = 0.25
-#: Holders that are asked for one statement.
+#: Holders tried for one statement.
 MAX_HOLDER_ATTEMPTS: Final = 4
-#: How long a holder is asked last that does not reach the primary, in seconds.
+#: Time for which a holder that cannot reach the primary is avoided.
 HOLDER_BACKOFF_S: Final = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardAttempt:
-    """What came of a hand-over: an answer and its stream, or neither.
+    """Result of one attempt: the answer and its stream, or neither.
 
     `was_sent` tells whether the statement may have run.
     """
@@ -57,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardResult:
-    """What a holder said of a statement, and on which stream."""
+    """Outcome of a statement, with the holder and the stream it came from."""
 
     outcome: Outcome
     channel: StreamChannel
@@ -65,26 +64,26 @@
 
 
 @dataclass(slots=True)
-class Handover:
-    """A statement on its way to a holder.
+class PendingForward:
+    """A statement that is being forwarded.
 
     Attributes
     ----------
     request, begin, route, state
-        The statement, the transaction that it opens, what binds it, and its
-        caller's session.
+        The statement, the transaction that it opens, its route, and its
+        caller's session state.
     version : int
-        Version of the configuration that binds it.
+        Version of the configuration that provided the route.
     is_repeatable : bool
-        Whether a try without an answer leaves nothing behind.
+        Whether an attempt without an answer has no lasting effect.
     began, deadline : float
-        When it began and must end, in kernel seconds.
+        Times of its start and its deadline, in seconds of the curio clock.
     tried : set of str
-        Holders that were asked.
+        Names of the holders tried so far.
     refusal : Refusal or None
-        What the last one said that could not do it.
+        Refusal of the last holder that could not run it.
     may_have_run : bool
-        Whether one of them may have run it.
+        Whether a holder may have run it.
     """
 
     request: Request
@@ -108,8 +107,8 @@
         state: SessionState,
         version: int,
         is_repeatable: bool,
-    ) -> 'Handover':
-        """Begin to hand a statement over now."""
+    ) -> 'PendingForward':
+        """Return a forward that starts now."""
         began: float = await curio.clock()
         deadline = began + route.statement_timeout - FORWARD_MARGIN_S
         return cls(
@@ -124,18 +123,18 @@
         )
 
     async def make_remaining_route(self) -> Route:
-        """Return the route with the time that is left for the statement."""
+        """Return the route with the remaining time as statement timeout."""
         left = self.deadline + FORWARD_MARGIN_S - await curio.clock()
         return replace(
             self.route, statement_timeout=max(left, FORWARD_MARGIN_S)
         )
 
-    def encode(self, limit: float) -> Forward:
-        """Return the message that gives a holder `limit` seconds."""
-        bound = replace(self.route, statement_timeout=limit)
+    def encode(self, timeout: float) -> Forward:
+        """Return the message that gives a holder `timeout` seconds."""
+        route = replace(self.route, statement_timeout=timeout)
         return encode_forward(
             self.request,
-            bound,
+            route,
             self.state,
             self.begin,
             self.version,
@@ -148,31 +147,32 @@
 
 
 class Forwarder(StatementRunner):
-    """Hands the statements of one group to the nodes that hold connections.
+    """Forwards the statements of one group to the holders of its connections.
 
     Parameters
     ----------
     runtime : ServiceRuntime
-        The group; knows its holders.
+        The group, with the list of its holders.
     peers : NodePeers
-        The other nodes.
-    here : Execution
-        Runs statements at this node itself if it is cut off from all holders,
-        over the connections that are not dealt.
+        Connections to the other nodes.
+    local_execution : Execution
+        Runs statements on this node, over connections from the unallocated
+        reserve, if no holder can be reached.
     """
 
     def __init__(
         self,
         runtime: ServiceRuntime,
         peers: NodePeers,
-        here: Execution,
+        local_execution: Execution,
     ) -> None:
-        self._here = here
+        self._local_execution = local_execution
         self._runtime = runtime
         self._peers = peers
         self._health = peers.health
         self._budget = RetryBudget()
-        #: Until when a holder is not expected to reach the primary.
+        #: Time until which a holder that could not reach the primary is
+        #: avoided, by name.
         self._backoff_until: dict[str, float] = {}
 
     async def run_single(
@@ -182,23 +182,25 @@
         route: Route,
         state: SessionState,
     ) -> Answer | Refusal:
-        """Have a statement outside a transaction run."""
+        """Run a statement outside a transaction on a holder."""
         is_read = effect is Effect.READ
         version = self._peers.version
-        work = await Handover.start(
+        pending = await PendingForward.start(
             request, None, route, state, version, is_read
         )
-        ended = await self._hand_over(work)
-        if ended is None:
-            left = await work.make_remaining_route()
-            return await self._here.run_single(request, effect, left, state)
-        if isinstance(ended, Refusal):
-            return ended
-        holder = ended.holder
-        await self._peers.forwards.keep(holder.endpoint, ended.channel)
-        if isinstance(ended.outcome, Answer) and not is_read:
-            state.note_change(ended.outcome)
-        return ended.outcome
+        forwarded = await self._forward(pending)
+        if forwarded is None:
+            local_route = await pending.make_remaining_route()
+            return await self._local_execution.run_single(
+                request, effect, local_route, state
+            )
+        if isinstance(forwarded, Refusal):
+            return forwarded
+        holder = forwarded.holder
+        await self._peers.forwards.keep(holder.endpoint, forwarded.channel)
+        if isinstance(forwarded.outcome, Answer) and not is_read:
+            state.note_change(forwarded.outcome)
+        return forwarded.outcome
 
     async def begin(
         self,
@@ -207,146 +209,164 @@
         route: Route,
         state: SessionState,
     ) -> StartedTransaction | Refusal:
-        """Have a transaction opened with its first statement."""
-        # Nothing of a transaction is kept when its stream breaks.
+        """Open a transaction with its first statement on a holder."""
+        # The holder rolls the transaction back if the stream breaks, so a
+        # lost first statement may be repeated.
         version = self._peers.version
-        work = await Handover.start(request, begin, route, state, version, True)
-        ended = await self._hand_over(work)
-        if ended is None:
-            left = await work.make_remaining_route()
-            return await self._here.begin(request, begin, left, state)
-        if isinstance(ended, Refusal):
-            return ended
+        pending = await PendingForward.start(
+            request, begin, route, state, version, True
+        )
+        forwarded = await self._forward(pending)
+        if forwarded is None:
+            local_route = await pending.make_remaining_route()
+            return await self._local_execution.begin(
+                request, begin, local_route, state
+            )
+        if isinstance(forwarded, Refusal):
+            return forwarded
         transaction = RemoteTransaction(
             self._peers,
-            ended.holder,
-            ended.channel,
+            forwarded.holder,
+            forwarded.channel,
             route.statement_timeout - FORWARD_MARGIN_S,
         )
-        if isinstance(ended.outcome, Refusal):
+        if isinstance(forwarded.outcome, Refusal):
             await transaction.end()
-            return ended.outcome
+            return forwarded.outcome
         transaction.is_open = True
-        return StartedTransaction(ended.outcome, forwarded=transaction)
+        return StartedTransaction(forwarded.outcome, forwarded=transaction)
 
     def _can_run_locally(self) -> bool:
-        """Tell whether this node holds connections, or no holder answers."""
+        """Return whether this node is a holder, or cut off from all holders."""
         if self._runtime.holding.is_holder:
             return True
         names = [holder.name for holder in self._runtime.holding.others]
         return all(map(self._health.may_be_partitioned, names))
 
-    async def _hand_over(
-        self, work: Handover
+    async def _forward(
+        self, pending: PendingForward
     ) -> ForwardResult | Refusal | None:
-        """Try holders until one answers; None if this node is cut off."""
+        """Try holders until one answers; None to run the statement locally."""
         while True:
             now = await curio.clock()
-            holder = self._pick(work, now)
+            holder = self._choose_holder(pending, now)
             if holder is None and self._can_run_locally():
                 return None
             if holder is None and await self._wait_for_restarting_holders(
-                work, now
+                pending, now
             ):
                 continue
-            if holder is None or now >= work.deadline:
-                return self._refuse(work)
-            work.tried.add(holder.name)
-            end = await self._forward_to(holder, work, work.deadline - now)
-            if end is not None:
-                return end
+            if holder is None or now >= pending.deadline:
+                return self._refuse(pending)
+            pending.tried.add(holder.name)
+            forwarded = await self._forward_to(
+                holder, pending, pending.deadline - now
+            )
+            if forwarded is not None:
+                return forwarded
 
     async def _forward_to(
         self,
         holder: Member,
-        work: Handover,
-        limit: float,
+        pending: PendingForward,
+        timeout: float,
     ) -> ForwardResult | Refusal | None:
-        """Hand work to one holder; None if another one is to be asked."""
-        limit = max(limit, HEARTBEAT_TIMEOUT_S)
-        question = work.encode(limit)
-        handed = await self._try(holder, question, limit, work.is_repeatable)
-        if handed.answer is None or handed.channel is None:
-            work.may_have_run = work.may_have_run or handed.was_sent
-            is_doubtful = handed.was_sent and not work.is_repeatable
-            return self._doubt(work.request, holder) if is_doubtful else None
-        outcome = decode_outcome(handed.answer)
+        """Forward a statement to a holder; None if another is to be tried."""
+        timeout = max(timeout, HEARTBEAT_TIMEOUT_S)
+        message = pending.encode(timeout)
+        attempt = await self._attempt(
+            holder, message, timeout, pending.is_repeatable
+        )
+        if attempt.answer is None or attempt.channel is None:
+            pending.may_have_run = pending.may_have_run or attempt.was_sent
+            is_doubtful = attempt.was_sent and not pending.is_repeatable
+            return (
+                self._refuse_unknown_outcome(pending.request, holder)
+                if is_doubtful
+                else None
+            )
+        outcome = decode_outcome(attempt.answer)
         if not _is_retryable(outcome):
             self._budget.record_success()
-            return ForwardResult(outcome, handed.channel, holder)
+            return ForwardResult(outcome, attempt.channel, holder)
         until = await curio.clock() + HOLDER_BACKOFF_S
         self._backoff_until[holder.name] = until
-        work.refusal = outcome
-        await self._peers.forwards.keep(holder.endpoint, handed.channel)
+        pending.refusal = outcome
+        await self._peers.forwards.keep(holder.endpoint, attempt.channel)
         return None
 
-    def _pick(self, work: Handover, now: float) -> Member | None:
-        """Return the holder to ask next, the best that can help."""
-        tried = work.tried
+    def _choose_holder(
+        self, pending: PendingForward, now: float
+    ) -> Member | None:
+        """Return the next holder to try, None if there is none."""
+        tried = pending.tried
         if len(tried) >= MAX_HOLDER_ATTEMPTS:
             return None
-        left = [
+        candidates = [
             holder
             for holder in self._runtime.holding.find_holders(
-                work.state.workspace
+                pending.state.workspace
             )
             if holder.name not in tried
             and not self._health.is_silent(holder.name)
         ]
-        reaching = [
+        preferred = [
             holder
-            for holder in left
+            for holder in candidates
             if self._backoff_until.get(holder.name, 0) <= now
         ]
-        if reaching:
-            return reaching[0]
-        # None reaches the primary as far as is known: one is asked again.
-        return left[0] if left and not tried else None
+        if preferred:
+            return preferred[0]
+        # No candidate could reach the primary lately: try one anyway, but only
+        # on the first attempt.
+        return candidates[0] if candidates and not tried else None
 
     async def _wait_for_restarting_holders(
-        self, work: Handover, now: float
+        self, pending: PendingForward, now: float
     ) -> bool:
-        """Wait a moment if holders start again; tell whether to try anew."""
+        """Wait briefly if holders are restarting; return whether to retry."""
         names = [holder.name for holder in self._runtime.holding.others]
         is_starting = any(map(self._health.is_refusing, names))
-        has_time = now - work.began <= HOLDER_RETRY_TIMEOUT_S
+        has_time = now - pending.began <= HOLDER_RETRY_TIMEOUT_S
         if (
             not is_starting
             or not has_time
-            or len(work.tried) >= MAX_HOLDER_ATTEMPTS
+            or len(pending.tried) >= MAX_HOLDER_ATTEMPTS
         ):
             return False
         await curio.sleep(HOLDER_RETRY_DELAY_S)
         return True
 
-    async def _try(
+    async def _attempt(
         self,
         holder: Member,
-        question: Forward,
-        limit: float,
+        message: Forward,
+        timeout: float,
         is_repeatable: bool,
     ) -> ForwardAttempt:
-        """Hand a statement to one holder and wait for what becomes of it."""
+        """Send a statement to one holder and wait for its answer."""
         streams = self._peers.forwards
         try:
-            async with curio.timeout_after(min(limit, HEARTBEAT_TIMEOUT_S)):
+            async with curio.timeout_after(min(timeout, HEARTBEAT_TIMEOUT_S)):
                 channel = await streams.open(holder.endpoint)
                 if not is_repeatable:
-                    # Over a stream that has gone silent nobody would know
-                    # whether it ran.
+                    # Check that the stream works: a change sent over a broken
+                    # stream would have an unknown outcome.
                     await channel.ask(Heartbeat())
         except (ConnectionError, curio.TaskTimeout) as error:
             await self._health.note_failure(holder, error)
             await self._health.check_all()
             return _NOT_SENT
         self._runtime.counters.count('forwards')
-        asking = await curio.spawn(_ask, channel, question, daemon=True)
+        answer_task = await curio.spawn(_ask, channel, message, daemon=True)
         try:
-            await self._wait_for_answer(holder, asking, limit, is_repeatable)
+            await self._wait_for_answer(
+                holder, answer_task, timeout, is_repeatable
+            )
         finally:
-            if not asking.terminated:
-                await asking.cancel()
-        answer = None if asking.cancelled else asking.result
+            if not answer_task.terminated:
+                await answer_task.cancel()
+        answer = None if answer_task.cancelled else answer_task.result
         if answer is None:
             self._runtime.counters.count('forwards_lost')
             if self._health.is_silent(holder.name):
@@ -357,41 +377,45 @@
     async def _wait_for_answer(
         self,
         holder: Member,
-        asking: Any,
-        limit: float,
+        answer_task: Any,
+        timeout: float,
         is_repeatable: bool,
     ) -> None:
-        """Wait for an answer as long as it can come, or another may."""
-        async with curio.ignore_after(min(limit, UNRESPONSIVE_AFTER_S)):
-            await asking.wait()
-        if asking.terminated or not is_repeatable:
-            async with curio.ignore_after(max(0, limit - UNRESPONSIVE_AFTER_S)):
-                await asking.wait()
+        """Wait for an answer until the timeout or until a retry is due."""
+        async with curio.ignore_after(min(timeout, UNRESPONSIVE_AFTER_S)):
+            await answer_task.wait()
+        if answer_task.terminated or not is_repeatable:
+            async with curio.ignore_after(
+                max(0, timeout - UNRESPONSIVE_AFTER_S)
+            ):
+                await answer_task.wait()
             return
         if not await self._health.check(holder):
             return
-        rest = max(0, limit * ATTEMPT_TIMEOUT_FRACTION - UNRESPONSIVE_AFTER_S)
+        rest = max(0, timeout * ATTEMPT_TIMEOUT_FRACTION - UNRESPONSIVE_AFTER_S)
         async with curio.ignore_after(rest):
-            await asking.wait()
-        if not asking.terminated and not self._budget.take():
+            await answer_task.wait()
+        if not answer_task.terminated and not self._budget.take():
             async with curio.ignore_after(
-                limit * (1 - ATTEMPT_TIMEOUT_FRACTION)
+                timeout * (1 - ATTEMPT_TIMEOUT_FRACTION)
             ):
-                await asking.wait()
+                await answer_task.wait()
 
-    def _refuse(self, work: Handover) -> Refusal:
-        """Return the refusal of a statement that leaves nothing behind."""
-        if work.refusal is not None and not work.may_have_run:
-            return work.refusal
+    def _refuse(self, pending: PendingForward) -> Refusal:
+        """Return the refusal of a statement that has no lasting effect."""
+        if pending.refusal is not None and not pending.may_have_run:
+            return pending.refusal
         reason = 'no holder answers'
-        self._log(work.request, reason)
+        self._log(pending.request, reason)
         code = Code.QUEUE_TIMEOUT
-        if work.may_have_run:
+        if pending.may_have_run:
             code = Code.TRANSACTION_LOST
         return refuse(code, reason)
 
-    def _doubt(self, request: Request, holder: Member) -> Refusal:
-        """Return the refusal of a change that may have been made."""
+    def _refuse_unknown_outcome(
+        self, request: Request, holder: Member
+    ) -> Refusal:
+        """Return the refusal of a change that may have been applied."""
         reason = f'{holder.name} gave no answer'
         self._log(request, reason)
         return refuse(Code.CONNECTION_LOST, reason)
@@ -406,20 +430,20 @@
 
 
 def _is_retryable(outcome: Outcome) -> TypeGuard[Refusal]:
-    """Tell whether another holder may do what one cannot.
+    """Return whether another holder may succeed where one has refused.
 
-    One may not know the group yet, or not reach its primary.
+    The one may not know the group yet, or not reach its primary.
     """
     return isinstance(outcome, Refusal) and outcome.code in _RETRYABLE_CODES
 
 
 async def _ask(
     channel: StreamChannel,
-    question: Forward,
+    message: Forward,
 ) -> ForwardAnswer | None:
-    """Ask on a stream; None if it breaks."""
+    """Send a request over a stream; None if the stream breaks."""
     try:
-        answer = await channel.ask(question)
+        answer = await channel.ask(message)
     except ConnectionError:
         return None
     return answer if isinstance(answer, ForwardAnswer) else None
--- a/deckdrum/forwarding/handler.py
+++ b/deckdrum/forwarding/handler.py
@@ -1,4 +1,4 @@
-"""Running statements that other nodes have handed to this one."""
+"""Running statements that other nodes forward to this one."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -34,37 +34,37 @@
 from deckdrum.utils.counters import Counters
 from deckdrum.workspaces import Workspace
 
-#: Longest rest of a stream inside a transaction, in seconds.  Transactions that
-#: rest are ended much earlier; this frees the stream of a node that is gone.
+#: Idle timeout of a stream inside a transaction.  The sender ends idle
+#: transactions much earlier; this frees the stream of a failed node.
 STREAM_IDLE_TIMEOUT_S: Final = 60.0
 
-FindExecution = Callable[[str], Execution | None]
-ReadConfiguration = Callable[[], Configuration | None]
+ExecutorFinder = Callable[[str], Execution | None]
+ConfigurationGetter = Callable[[], Configuration | None]
 
 
 class SessionRegistry(ABC):
-    """Keeps the sessions that a node serves."""
+    """Registry of the sessions that a node serves."""
 
     @abstractmethod
     def add(self, session: CallerSession) -> None:
-        """Enter a session that has just been opened."""
+        """Add a session that has been opened."""
 
     @abstractmethod
     def discard(self, session: CallerSession) -> None:
-        """Forget a session that has ended."""
+        """Remove a session that has ended."""
 
 
 class ForwardedSessionHost(SessionHost):
-    """What the session of another node's caller needs of this node.
+    """Connects the session of another node's caller to this node.
 
     Parameters
     ----------
     access : Access
-        What the other node has found, and this one has checked.
+        Access found by the sender and checked by this node.
     execution : Execution
-        What runs statements of its group here.
+        Runs the statements of its group on this node.
     policies : frozenset of Policy
-        Mechanisms in force.
+        Enabled policies.
     """
 
     def __init__(
@@ -78,22 +78,22 @@
         self._execution = execution
 
     def find_access(self, state: SessionState) -> Access | Refusal:
-        """Return what the other node has found."""
+        """Return the access that the sender has found."""
         return self._access
 
     async def spend_limit(self, access: Access) -> Refusal | None:
-        """Leave the limit to the node whose caller it is."""
+        """Do nothing: the sender has counted the operation."""
 
     def find_runner(
         self,
         service: str,
         workspace: str,
     ) -> StatementRunner | None:
-        """Return what runs statements here: they are handed over once."""
+        """Return the local runner: a statement is forwarded only once."""
         return self._execution
 
     def find_execution(self, service: str) -> Execution | None:
-        """Return what runs statements here."""
+        """Return what runs statements on this node."""
         return self._execution
 
     def note_outcome(
@@ -103,49 +103,49 @@
         outcome: Outcome,
         seconds: float,
     ) -> None:
-        """Leave the count to the node whose caller it is."""
+        """Do nothing: the sender counts the outcome."""
 
 
 class ForwardedStatementHandler:
-    """Runs what other nodes hand over.
+    """Runs statements and transactions that other nodes forward.
 
     Parameters
     ----------
     find_execution : callable
-        Returns what runs statements of a group here, if anything.
-    read_configuration : callable
-        Returns the configuration in force here, if any.
-    register : SessionRegister
-        Told of each session that begins and ends.
+        Returns what runs a group's statements on this node, if any.
+    get_configuration : callable
+        Returns the current configuration of this node, if any.
+    registry : SessionRegistry
+        Receives each session that is opened or ends.
     policies : frozenset of Policy
-        Mechanisms in force.
+        Enabled policies.
     counters : Counters
-        For metrics.
+        Metrics of the node.
     """
 
     def __init__(
         self,
-        find_execution: FindExecution,
-        read_configuration: ReadConfiguration,
-        register: SessionRegistry,
+        find_execution: ExecutorFinder,
+        get_configuration: ConfigurationGetter,
+        registry: SessionRegistry,
         policies: frozenset[Policy],
         counters: Counters,
     ) -> None:
-        #: Statements and transactions under way.
+        #: Number of statements and transactions in progress.
         self.running = 0
         self._find_execution = find_execution
-        self._read_configuration = read_configuration
-        self._register = register
+        self._get_configuration = get_configuration
+        self._registry = registry
         self._policies = policies
         self._counters = counters
 
     async def serve(self, channel: StreamChannel, message: Forward) -> None:
-        """Run a statement, and the transaction that it opens to its end.
+        """Run a statement and the rest of the transaction that it opens.
 
         Raises
         ------
         ConnectionError
-            If the other node is gone; its transaction is rolled back then.
+            If the sender has disconnected; its transaction is rolled back.
         """
         session = self._open(message)
         if isinstance(session, Refusal):
@@ -153,7 +153,7 @@
             return
         self._counters.count('forwards_run')
         self.running += 1
-        self._register.add(session)
+        self._registry.add(session)
         try:
             await _run_to_end(session, channel, message)
         finally:
@@ -161,15 +161,15 @@
 
     async def _end(self, session: CallerSession) -> None:
         self.running -= 1
-        self._register.discard(session)
+        self._registry.discard(session)
         await session.close()
 
     def _open(self, message: Forward) -> CallerSession | Refusal:
-        """Return a session in the state of the caller's own."""
+        """Return a session with the state of the caller's session."""
         route = decode_route(message)
-        forbidden = check_forward(self._read_configuration(), message, route)
-        if forbidden is not None:
-            return forbidden
+        refusal = check_forward(self._get_configuration(), message, route)
+        if refusal is not None:
+            return refusal
         execution = self._find_execution(route.service)
         if execution is None:
             return refuse(Code.NOT_READY, 'the group is not known here yet')
@@ -209,8 +209,10 @@
         async with curio.timeout_after(STREAM_IDLE_TIMEOUT_S):
             message = await channel.receive()
     except curio.TaskTimeout as error:
-        raise ConnectionAbortedError('the stream rests too long') from error
+        raise ConnectionAbortedError(
+            f'stream idle for {STREAM_IDLE_TIMEOUT_S} s inside a transaction',
+        ) from error
     if not isinstance(message, ForwardNext):
         name = type(message).__name__
-        raise MessageError(f'{name} inside a transaction')
+        raise MessageError(f'unexpected {name} message inside a transaction')
     return message
--- a/deckdrum/forwarding/tests/test_encoding.py
+++ b/deckdrum/forwarding/tests/test_encoding.py
@@ -1,4 +1,4 @@
-"""Statements and outcomes on their way between nodes."""
+"""Tests of the encoding of statements and outcomes between nodes."""
 
 import math
 
@@ -45,8 +45,8 @@
 )
 
 
-def send(message: Forward | ForwardNext | ForwardAnswer) -> object:
-    """Return a message as it arrives."""
+def transmit(message: Forward | ForwardNext | ForwardAnswer) -> object:
+    """Return a message as the receiver decodes it."""
     return decode_message(msgpack.unpackb(encode_message(message)))
 
 
@@ -61,7 +61,7 @@
     ],
 )
 @pytest.mark.parametrize('begin', [None, Begin(True), Begin(False)])
-def test_statement_arrives_as_it_was_sent(
+def test_statement_is_decoded_as_sent(
     operation: Operation,
     begin: Begin | None,
 ) -> None:
@@ -70,7 +70,7 @@
     )
     state.prepared['s1'] = PreparedStatement(Effect.WRITE, 'q1')
     request = Request('id-1', operation)
-    message = send(encode_forward(request, ROUTE, state, begin, 5))
+    message = transmit(encode_forward(request, ROUTE, state, begin, 5))
     assert isinstance(message, Forward)
     assert decode_request(message) == request
     assert decode_route(message) == ROUTE
@@ -81,7 +81,7 @@
     assert (message.fingerprint, message.version) == ('print', 5)
     prepared = decode_prepared(message)
     assert prepared == state.find_prepared(operation)
-    following = send(encode_forward_next(request, prepared))
+    following = transmit(encode_forward_next(request, prepared))
     assert isinstance(following, ForwardNext)
     assert decode_request(following) == request
     assert decode_prepared(following) == prepared
@@ -96,8 +96,8 @@
         refuse(Code.CONNECTION_LOST, 'gone'),
     ],
 )
-def test_outcome_arrives_as_it_was_sent(outcome: Answer) -> None:
-    message = send(encode_outcome(outcome, is_open=True))
+def test_outcome_is_decoded_as_sent(outcome: Answer) -> None:
+    message = transmit(encode_outcome(outcome, is_open=True))
     assert isinstance(message, ForwardAnswer)
     assert decode_outcome(message) == outcome
 
@@ -106,11 +106,11 @@
     'operation',
     [[], ['drop'], ['run', 'read'], ['run', 'drop', 'x'], ['commit', 'x']],
 )
-def test_what_is_no_operation_is_told(operation: list[str]) -> None:
-    with pytest.raises(MessageError, match='no operation'):
+def test_invalid_operation_is_rejected(operation: list[str]) -> None:
+    with pytest.raises(MessageError, match='invalid operation'):
         decode_request(ForwardNext('id-1', operation, ()))
 
 
-def test_what_is_no_answer_is_told() -> None:
-    with pytest.raises(MessageError, match='no code'):
+def test_unknown_outcome_code_is_rejected() -> None:
+    with pytest.raises(MessageError, match='unknown code'):
         decode_outcome(ForwardAnswer(False, 'DD999', '', None, (), ()))
--- a/deckdrum/forwarding/tests/test_forwarding.py
+++ b/deckdrum/forwarding/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Statements handed to holders, through whole nodes in virtual time."""
+"""Forwarding of statements to holders, with whole nodes in virtual time."""
 
 import curio
 import pytest
@@ -15,12 +15,12 @@
     play,
 )
 
-#: More nodes than a server accepts connections: one holder a data centre.
+#: More nodes than connections to a server: one holder per data centre.
 NODES = 12
-FEW = 9
-#: Enough that the holders have several connections each.
-MORE = 20
-MORE_NODES = 18
+MAX_CONNECTIONS = 9
+#: Several connections for each holder.
+MANY_CONNECTIONS = 20
+MANY_NODES = 18
 
 
 def _list_holders(deployment: Deployment) -> list[int]:
@@ -32,7 +32,7 @@
 
 
 def _find_caller(deployment: Deployment) -> int:
-    """Return the number of a node that hands its statements over."""
+    """Return the number of a node that forwards its statements."""
     return next(
         number
         for number, running in enumerate(deployment.nodes)
@@ -41,7 +41,7 @@
 
 
 def _find_first_holder(deployment: Deployment, caller: int) -> RunningNode:
-    """Return the holder that a node asks first."""
+    """Return the holder to which a node forwards first."""
     name = (
         deployment.nodes[caller].node.services[SERVICE].holding.others[0].name
     )
@@ -52,11 +52,11 @@
     )
 
 
-async def _stay_silent(*_: object) -> None:
+async def _never_answer(*_: object) -> None:
     await curio.sleep(60)
 
 
-def test_few_nodes_hold_connections_and_the_others_none() -> None:
+def test_only_holders_open_connections() -> None:
     async def scenario(deployment: Deployment) -> None:
         holders = _list_holders(deployment)
         assert len(holders) == 3
@@ -69,10 +69,10 @@
             opened = sum(handle.pool.figures.opened for handle in handles)
             assert bool(opened) == (number in holders)
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-def test_session_keeps_its_values_statements_and_changes() -> None:
+def test_session_values_prepared_statements_and_own_writes_are_kept() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(OWN, _find_caller(deployment))
         await client.ask('SET colour red')
@@ -81,12 +81,18 @@
         for number in range(5):
             assert (await client.ask(f'EXECUTE s1 a {number}')).is_done
             reply = await client.ask('EXECUTE s2 a')
-            # The read shows the change just made.
+            # The session reads its own write.
             assert reply.rows == [f'a-{number + 1}']
         values = {ran.values for ran in deployment.group.ran}
         assert values == {(('colour', 'red'),)}
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5, lag=0.3)
+    play(
+        scenario,
+        nodes=NODES,
+        max_connections=MAX_CONNECTIONS,
+        settle=2.5,
+        lag=0.3,
+    )
 
 
 def test_transaction_runs_on_one_connection_of_the_holder() -> None:
@@ -103,19 +109,19 @@
         assert len(deployment.group.primary.log) == 1
         assert deployment.group.ran[-2].values == (('colour', 'blue'),)
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-@pytest.mark.parametrize('ending', ['ROLLBACK', 'leaves', 'rests'])
-def test_transaction_that_is_not_committed_leaves_nothing(ending: str) -> None:
+@pytest.mark.parametrize('ending', ['ROLLBACK', 'disconnect', 'idle'])
+def test_uncommitted_transaction_is_rolled_back(ending: str) -> None:
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         client = await deployment.connect(CURRENT, caller)
         await client.ask('BEGIN')
         await client.ask('WRITE a 1')
-        if ending == 'leaves':
+        if ending == 'disconnect':
             await client.close()
-        elif ending == 'rests':
+        elif ending == 'idle':
             await curio.sleep(4.5)
         else:
             assert (await client.ask(ending)).is_done
@@ -126,12 +132,10 @@
             for handle in running.node.services[SERVICE].servers.values():
                 assert not handle.pool.queue.held
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-def test_holder_that_does_not_run_is_passed_over_and_nothing_runs_twice() -> (
-    None
-):
+def test_stopped_holder_is_skipped_and_no_statement_runs_twice() -> None:
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         client = await deployment.connect(CURRENT, caller)
@@ -146,64 +150,64 @@
         assert len(deployment.group.primary.log) == 6
         await deployment.stop_node(holder)
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
 @pytest.mark.parametrize('text', ['READ a', 'WRITE a 1'])
-def test_frozen_holder_costs_one_statement_a_moment(text: str) -> None:
+def test_frozen_holder_delays_only_one_statement(text: str) -> None:
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         client = await deployment.connect(CURRENT, caller)
         assert (await client.ask('READ a')).is_done
         peers = _find_first_holder(deployment, caller).node.peers
-        peers.answer = _stay_silent
-        peers.run_forwarded = _stay_silent
+        peers.answer = _never_answer
+        peers.run_forwarded = _never_answer
         began = await curio.clock()
         assert (await client.ask(text)).is_done
-        # A read may be under way when the holder freezes; a change is sent
-        # only to one that has just shown a sign of life.
+        # A read may be in progress when the holder freezes; a write is sent
+        # only after the holder has answered a heartbeat.
         assert await curio.clock() - began < 0.25 + 2 * HEARTBEAT_TIMEOUT_S
         began = await curio.clock()
         for _ in range(5):
             assert (await client.ask(text)).is_done
         assert await curio.clock() - began < 0.1
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-def test_change_that_may_have_run_is_in_doubt_and_not_repeated() -> None:
+def test_write_with_unknown_outcome_is_not_repeated() -> None:
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         client = await deployment.connect(CURRENT, caller)
         assert (await client.ask('READ a')).is_done
         holder = _find_first_holder(deployment, caller)
-        # The statement arrives, and the holder freezes.
-        holder.node.peers.run_forwarded = _stay_silent
+        # The holder freezes after receiving the statement.
+        holder.node.peers.run_forwarded = _never_answer
         reply = await client.ask('WRITE a 1')
         assert reply.end == 'ERROR'
         assert reply.text.startswith('INDOUBT')
         assert not deployment.group.primary.log
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-def test_read_that_may_have_run_is_not_told_as_waiting_in_vain() -> None:
+def test_read_that_may_have_run_is_not_reported_as_queue_timeout() -> None:
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         client = await deployment.connect(CURRENT, caller)
         assert (await client.ask('READ a')).is_done
         for number in _list_holders(deployment):
             peers = deployment.nodes[number].node.peers
-            peers.run_forwarded = _stay_silent
+            peers.run_forwarded = _never_answer
         reply = await client.ask('READ a')
         assert reply.end == 'ERROR'
         assert reply.text.startswith('ABORTED')
         assert 'nothing of it is kept' in reply.text
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-def test_statements_go_to_a_holder_that_reaches_the_primary() -> None:
+def test_holder_that_cannot_reach_the_primary_is_skipped() -> None:
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         client = await deployment.connect(CURRENT, caller)
@@ -216,10 +220,10 @@
         assert (await client.ask('WRITE a 2')).is_done
         assert await curio.clock() - began < 0.05
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-def test_cut_off_node_finds_all_silent_holders_at_once() -> None:
+def test_isolated_node_detects_all_unresponsive_holders_at_once() -> None:
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         client = await deployment.connect(CURRENT, caller)
@@ -227,24 +231,24 @@
         node = deployment.nodes[caller].node
         for number in _list_holders(deployment):
             peers = deployment.nodes[number].node.peers
-            peers.answer = _stay_silent
-            peers.run_forwarded = _stay_silent
+            peers.answer = _never_answer
+            peers.run_forwarded = _never_answer
         await client.ask('READ a')
         await curio.sleep(HEARTBEAT_TIMEOUT_S)
         for holder in node.services[SERVICE].holding.others:
             assert node.peers.health.is_silent(holder.name)
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-def test_node_that_no_holder_answers_connects_by_itself() -> None:
+def test_node_opens_connections_itself_if_no_holder_answers() -> None:
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         for number in _list_holders(deployment):
             peers = deployment.nodes[number].node.peers
-            peers.answer = _stay_silent
-            peers.run_forwarded = _stay_silent
-            peers.lend = _stay_silent
+            peers.answer = _never_answer
+            peers.run_forwarded = _never_answer
+            peers.lend = _never_answer
         client = await deployment.connect(CURRENT, caller)
         done = 0
         for _ in range(10):
@@ -252,11 +256,13 @@
             await curio.sleep(0.3)
         assert done >= 8
 
-    play(scenario, nodes=NODES, max_connections=FEW, settle=2.5)
+    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
 
 
-def test_planned_stop_of_a_holder_harms_no_statement() -> None:
-    async def ask_on(deployment: Deployment, number: int) -> list[Reply]:
+def test_graceful_shutdown_of_a_holder_fails_no_statement() -> None:
+    async def ask_repeatedly(
+        deployment: Deployment, number: int
+    ) -> list[Reply]:
         client = await deployment.connect(CURRENT, node=number)
         replies = []
         for _ in range(40):
@@ -267,7 +273,7 @@
     async def scenario(deployment: Deployment) -> None:
         caller = _find_caller(deployment)
         holder = _find_first_holder(deployment, caller)
-        asking = await curio.spawn(ask_on, deployment, caller)
+        asking = await curio.spawn(ask_repeatedly, deployment, caller)
         await curio.sleep(0.3)
         await holder.node.begin_shutdown()
         await curio.sleep(0.8)
@@ -277,4 +283,6 @@
         assert all(reply.is_done for reply in replies)
         assert len(deployment.group.primary.log) == len(replies)
 
-    play(scenario, nodes=MORE_NODES, max_connections=MORE, settle=2.5)
+    play(
+        scenario, nodes=MANY_NODES, max_connections=MANY_CONNECTIONS, settle=2.5
+    )
--- a/deckdrum/forwarding/transactions.py
+++ b/deckdrum/forwarding/transactions.py
@@ -1,4 +1,4 @@
-"""A transaction that a holder runs for a caller of this node."""
+"""Transactions that a holder runs for callers of this node."""
 
 from typing import Final
 
@@ -14,7 +14,6 @@
 from deckdrum.serving.host import Outcome
 from deckdrum.serving.state import ForwardedTransaction, PreparedStatement
 
-#: Longest wait for a rollback that is handed over, in seconds.
 ROLLBACK_TIMEOUT_S: Final = 0.3
 
 
@@ -24,13 +23,13 @@
     Parameters
     ----------
     peers : NodePeers
-        Keeps the stream when the transaction has ended.
+        Reuses the stream after the transaction.
     holder : Member
-        Who runs it.
+        The node that runs it.
     channel : StreamChannel
-        The stream on which it goes on.
-    limit : float
-        Longest time of one statement, in seconds.
+        The stream to the holder.
+    timeout : float
+        Timeout of one statement, in seconds.
     """
 
     def __init__(
@@ -38,14 +37,14 @@
         peers: NodePeers,
         holder: Member,
         channel: StreamChannel,
-        limit: float,
+        timeout: float,
     ) -> None:
-        #: Whether the holder waits for its next statement.
+        #: Whether the holder expects another statement.
         self.is_open = False
         self._peers = peers
         self._holder = holder
         self._channel: StreamChannel = channel
-        self._limit = limit
+        self._timeout = timeout
 
     async def run(
         self,
@@ -54,39 +53,39 @@
         *,
         may_last: bool,
     ) -> Outcome:
-        """Run a statement of it; after a refusal it has ended."""
-        question = encode_forward_next(request, prepared)
+        """Run a statement; a refusal ends the transaction."""
+        message = encode_forward_next(request, prepared)
         try:
-            async with curio.timeout_after(self._limit):
-                answer = await self._channel.ask(question)
+            async with curio.timeout_after(self._timeout):
+                answer = await self._channel.ask(message)
         except (ConnectionError, curio.TaskTimeout) as error:
-            return await self._lose(repr(error), may_last)
+            return await self._fail(repr(error), may_last)
         if not isinstance(answer, ForwardAnswer):
-            return await self._lose(f'{type(answer).__name__} came', may_last)
+            return await self._fail(f'{type(answer).__name__} came', may_last)
         if not answer.is_open:
             await self.end()
         return decode_outcome(answer)
 
     async def release(self) -> None:
-        """Roll it back if it is open."""
+        """Roll the transaction back if it is open."""
         if not self.is_open:
             return
         self.is_open = False
-        question = encode_forward_next(Request('', Rollback()), None)
+        message = encode_forward_next(Request('', Rollback()), None)
         try:
             async with curio.timeout_after(ROLLBACK_TIMEOUT_S):
-                await self._channel.ask(question)
+                await self._channel.ask(message)
         except (ConnectionError, curio.TaskTimeout):
-            # The stream is closed, so the holder rolls it back.
+            # The failed request closed the stream, so the holder rolls back.
             return
         await self.end()
 
     async def end(self) -> None:
-        """Keep the stream for other work."""
+        """Return the stream to the pool."""
         self.is_open = False
         await self._peers.forwards.keep(self._holder.endpoint, self._channel)
 
-    async def _lose(self, reason: str, may_last: bool) -> Refusal:
+    async def _fail(self, reason: str, may_last: bool) -> Refusal:
         self.is_open = False
         await self._channel.close()
         code = Code.CONNECTION_LOST if may_last else Code.TRANSACTION_LOST
--- a/deckdrum/node/__init__.py
+++ b/deckdrum/node/__init__.py
@@ -1,4 +1,4 @@
-"""One node: services, peers, changes of primary, stops."""
+"""A node: its services, peers, failure detection and shutdown."""
 
 from deckdrum.fleet.settings import NodeSettings
 from deckdrum.node.core import Node
--- a/deckdrum/node/core.py
+++ b/deckdrum/node/core.py
@@ -1,4 +1,4 @@
-"""Assembling a node, and its life from start to stop."""
+"""Construction and lifecycle of a node."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from functools import partial
@@ -28,35 +28,35 @@
 from deckdrum.utils.counters import Counters
 from deckdrum.utils.tasks import keep_running
 
-BackendMaker = Callable[..., Backend]
-#: Pause between two rounds of upkeep, in seconds.
+BackendFactory = Callable[..., Backend]
 MAINTENANCE_INTERVAL_S: Final = 0.25
-#: Wait after a change of the view for others that come with it, in seconds.
+#: Delay after a change of the view, so that related changes are applied
+#: together.
 CHANGE_DEBOUNCE_DELAY_S: Final = 0.01
-#: Pause between two looks for the first configuration, in seconds.
 CONFIGURATION_POLL_INTERVAL_S: Final = 0.02
 
 
 class Node:
-    """One node of the product, whatever protocols it speaks.
+    """A node of the product, independent of the client protocol.
 
     Parameters
     ----------
     settings : NodeSettings
-        The node.
+        Settings of the node.
     store : ControlStore
-        What is agreed and listed.
+        Holds the configuration, the registrations and the leadership records.
     duty : PromotionDuty
         Promotes servers.
     make_backend : callable
-        Makes the border object of a server; takes the server and, as `dial`,
-        what opens connections to it.
+        Creates the backend of a server from the server and, as `dial`, the
+        function that opens connections to it.
     journal : Journal
-        For logs.
+        Log of the node.
     counters : Counters
-        For metrics.
+        Metrics of the node.
     dial_straight : callable
-        Connects to servers' addresses; tests cut links there.
+        Opens direct connections to server addresses; tests replace it to
+        simulate link failures.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         settings: NodeSettings,
         store: ControlStore,
         duty: PromotionClient,
-        make_backend: BackendMaker,
+        make_backend: BackendFactory,
         journal: Journal,
         counters: Counters,
         dial_direct: Dial = dial,
@@ -73,13 +73,13 @@
         self.journal = journal
         self.counters = counters
         self.is_stopping = False
-        #: Whether sessions end as soon as they are at rest.
+        #: Whether sessions are closed as soon as they are idle.
         self.is_closing_sessions = False
         self._store = store
         self._dialer = DetourDialer(dial_direct)
         self._randomness = Random(settings.seed or None)
         self.view = ControlView(store, journal, settings.drain_time)
-        self.view.on_change.append(self._note_change)
+        self.view.on_change.append(self._handle_view_change)
         self.feed = StoreFeed(self.view, store, journal, self._randomness)
         self.peers = NodePeers(
             settings,
@@ -93,7 +93,7 @@
         self._registration = NodeRegistration(
             settings, self.view, store, journal
         )
-        #: For those who watch and change primaries.
+        #: Dependencies of supervisors and primary changes.
         self.tools = LeadershipContext(
             settings.name,
             self.view,
@@ -104,7 +104,7 @@
             self._randomness,
             settings.policies,
         )
-        self._book = ServiceManager(
+        self._service_manager = ServiceManager(
             self.tools,
             partial(make_backend, dial=self._dialer.dial),
             journal,
@@ -124,42 +124,42 @@
             self.peers,
             journal,
         )
-        self._sessions = SessionManager(
+        self._session_manager = SessionManager(
             journal,
             counters,
             lambda: self.view.version,
         )
-        #: Opens sessions of callers.
+        #: Opens callers' sessions.
         self.host = NodeHost(
             settings,
             self.view,
             self.peers,
-            self._book,
-            self._sessions,
+            self._service_manager,
+            self._session_manager,
             journal,
             counters,
         )
-        answerer = PeerRequestHandler(self.services, self.host.counter)
-        self.peers.answer = answerer.answer
+        request_handler = PeerRequestHandler(self.services, self.host.counter)
+        self.peers.answer = request_handler.handle
         self._forwarded = ForwardedStatementHandler(
-            self._book.find_execution,
+            self._service_manager.find_execution,
             lambda: self.view.configuration,
-            self._sessions,
+            self._session_manager,
             settings.policies,
             counters,
         )
         self.peers.run_forwarded = self._forwarded.serve
-        self._changed = curio.Event()
+        self._view_changed = curio.Event()
         self._tasks: list[Any] = []
 
     @property
     def services(self) -> Mapping[str, ServiceRuntime]:
         """Database groups by name."""
-        return self._book.services
+        return self._service_manager.services
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether the node can serve new callers."""
         if self.is_stopping or self.view.configuration is None:
             return False
         return any(runtime.servers for runtime in self.services.values())
@@ -167,25 +167,25 @@
     @property
     def sessions(self) -> int:
         """Number of open sessions."""
-        return self._sessions.count
+        return self._session_manager.count
 
     @property
     def lent(self) -> int:
-        """Connections that other nodes use now."""
+        """Number of connections lent to other nodes."""
         return self.lender.lent
 
     @property
     def forwarded(self) -> int:
-        """Statements and transactions that other nodes have handed over."""
+        """Number of forwarded statements and transactions in progress."""
         return self._forwarded.running
 
     @property
     def open_transactions(self) -> int:
         """Number of sessions inside a request or a transaction."""
-        return self._sessions.open_transactions
+        return self._session_manager.open_transactions
 
     async def start(self) -> None:
-        """Begin to work."""
+        """Start the node's background tasks and listen for other nodes."""
         self.journal.record(
             'node.started',
             node=self.settings.name,
@@ -199,7 +199,7 @@
             self._apply_changes,
             self._run_maintenance,
             self.feed.run_watch_checks,
-            self._book.figures.run,
+            self._service_manager.statistics_logger.run,
             self.peers.run,
             self._registration.run,
             self._failure_detector.run,
@@ -214,7 +214,7 @@
         )
 
     async def begin_shutdown(self) -> None:
-        """Call for no more callers; what is under way goes on."""
+        """Report not ready to new callers; existing sessions continue."""
         if not self.is_stopping:
             self.is_stopping = True
             self.host.counter.is_stopping = True
@@ -226,28 +226,28 @@
             )
 
     async def close(self) -> None:
-        """Leave the other nodes and stop."""
+        """Deregister the node and stop its tasks."""
         await self._registration.deregister()
         for task in self._tasks:
             await task.cancel(blocking=False)
-        await self._book.close()
+        await self._service_manager.close()
         await self.peers.close()
         self.journal.record('node.stopped', sessions=self.sessions)
 
-    async def wait_for_configuration(self, limit: float) -> bool:
-        """Wait for the first configuration; tell whether there is one."""
-        async with curio.ignore_after(limit):
+    async def wait_for_configuration(self, timeout: float) -> bool:
+        """Wait for the first configuration; return whether there is one."""
+        async with curio.ignore_after(timeout):
             while self.view.configuration is None:
                 await curio.sleep(CONFIGURATION_POLL_INTERVAL_S)
         return self.view.configuration is not None
 
     async def close_session(self, session: CallerSession) -> None:
         """End a session."""
-        await self._sessions.close(session)
+        await self._session_manager.close(session)
 
-    async def abandon_transactions(self, reason: str) -> None:
-        """Roll back every transaction that rests between statements."""
-        await self._sessions.abandon_transactions(reason)
+    async def rollback_transactions(self, reason: str) -> None:
+        """Roll back every transaction that is between two statements."""
+        await self._session_manager.rollback_transactions(reason)
 
     async def _keep_running(
         self,
@@ -263,28 +263,28 @@
         )
         self._tasks.append(task)
 
-    async def _note_change(self, _: Kind) -> None:
-        """Have a change of the view taken over."""
-        self._registration.note_change()
-        await self._changed.set()
+    async def _handle_view_change(self, _: Kind) -> None:
+        """Schedule the application of a change of the view."""
+        self._registration.check_previous_registration()
+        await self._view_changed.set()
 
     async def _apply_changes(self) -> None:
         while True:
-            await self._changed.wait()
+            await self._view_changed.wait()
             await curio.sleep(CHANGE_DEBOUNCE_DELAY_S)
-            self._changed.clear()
+            self._view_changed.clear()
             await self.host.counter.apply_members()
-            await self._book.adopt(
+            await self._service_manager.apply_view(
                 self._registration.member,
                 was_registered=self._registration.was_registered,
             )
 
     async def _run_maintenance(self) -> None:
-        """End transactions that rest too long; forget removed servers."""
+        """Roll back idle transactions and forget removed servers."""
         while True:
             await curio.sleep(MAINTENANCE_INTERVAL_S)
             await self.view.expire_removed_servers()
             configuration = self.view.configuration
             if configuration is not None:
                 limit = configuration.idle_transaction_limit
-                await self._sessions.rollback_idle_transactions(limit)
+                await self._session_manager.rollback_idle_transactions(limit)
--- a/deckdrum/node/failure_detection.py
+++ b/deckdrum/node/failure_detection.py
@@ -1,8 +1,8 @@
-"""Noting which registered nodes are gone.
+"""Detecting failed nodes and marking their registrations.
 
-A machine that is lost for good withdraws nothing.  Its entry would count for
-ever when connections are dealt and when a change of primary asks for consent.
-One node, the first by rank that answers, looks after the others.
+A node that crashes does not deregister.  Unless its entry is marked as gone,
+it keeps its share of the connections and is probed for consent to every primary
+change.  Detection is done by the highest-ranked node that responds.
 """
 
 from typing import Final
@@ -17,29 +17,28 @@
 from deckdrum.utils import Journal
 from deckdrum.utils.ranks import weigh
 
-#: Pause between two rounds of questions, in seconds.
 PROBE_INTERVAL_S: Final = 2.0
-#: How long a node is silent before it counts as gone, in seconds: longer than
-#: a restart takes, and than most cuts and freezes last.
+#: Longer than a restart and than most network partitions and freezes.
 NODE_FAILURE_TIMEOUT_S: Final = 10.0
-#: Ranks that watch those before them, so that the first may be lost too.
+#: Highest-ranked nodes that take part in detection, so that it survives the
+#: loss of the first.
 DETECTOR_COUNT: Final = 3
-_RANK_KEY: Final = 'members'
+_RANK_DOMAIN: Final = 'members'
 
 
 class FailureDetector:
-    """One node's part in looking after the members.
+    """Probes the other members and marks those that stop responding.
 
     Parameters
     ----------
     node : str
-        This node.
+        Name of this node.
     view : ControlView
-        Knows the members, and notes a node as gone.
+        Provides the members' entries and stores the mark.
     peers : NodePeers
-        The other nodes.
+        Connections to the other nodes.
     journal : Journal
-        For each node that is noted.
+        Receives an event for each node that is marked.
     """
 
     def __init__(
@@ -53,50 +52,54 @@
         self._view = view
         self._peers = peers
         self._journal = journal
-        #: Since when a node has not answered, in kernel seconds.
-        self._silent_since: dict[str, float] = {}
+        #: Time of the first probe without a response, by node, in seconds of
+        #: the curio clock.
+        self._unresponsive_since: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Look after the members for ever."""
+        """Check the members periodically, without end."""
         while True:
             await curio.sleep(PROBE_INTERVAL_S)
-            await self._look()
+            await self._check_members()
 
-    async def _look(self) -> None:
+    async def _check_members(self) -> None:
         ranked = sorted(
             (member.name for member in self._peers.others),
             key=_rank,
         )
-        before = [name for name in ranked if _rank(name) < _rank(self._node)]
-        if len(before) >= DETECTOR_COUNT:
+        higher_ranked = [
+            name for name in ranked if _rank(name) < _rank(self._node)
+        ]
+        if len(higher_ranked) >= DETECTOR_COUNT:
             return
-        await self._ask(before)
-        if all([await self._is_gone(name) for name in before]):
-            await self._ask(ranked)
+        await self._probe_all(higher_ranked)
+        # The others are probed only if all higher-ranked ones have failed.
+        if all([await self._has_failed(name) for name in higher_ranked]):
+            await self._probe_all(ranked)
             for name in ranked:
-                if await self._is_gone(name):
+                if await self._has_failed(name):
                     await self._mark_gone(name)
 
-    async def _ask(self, names: list[str]) -> None:
+    async def _probe_all(self, names: list[str]) -> None:
         members = self._view.members
-        asked = [members[name] for name in names if name in members]
+        probed = [members[name] for name in names if name in members]
         tasks = {
-            member.name: await curio.spawn(self._hear, member)
-            for member in asked
+            member.name: await curio.spawn(self._probe, member)
+            for member in probed
         }
         now = await curio.clock()
         for name, task in tasks.items():
             if await task.join():
-                self._silent_since.pop(name, None)
+                self._unresponsive_since.pop(name, None)
             else:
-                self._silent_since.setdefault(name, now)
+                self._unresponsive_since.setdefault(name, now)
 
-    async def _hear(self, member: Member) -> bool:
+    async def _probe(self, member: Member) -> bool:
         answer = await self._peers.ask(member.endpoint, Heartbeat())
         return isinstance(answer, Heartbeat)
 
-    async def _is_gone(self, name: str) -> bool:
-        since = self._silent_since.get(name)
+    async def _has_failed(self, name: str) -> bool:
+        since = self._unresponsive_since.get(name)
         if since is None:
             return False
         now: float = await curio.clock()
@@ -108,7 +111,7 @@
             return
         gone = replace(entry.record, is_gone=True)
         try:
-            noted = await self._view.put(
+            stored = await self._view.put(
                 Kind.MEMBERS,
                 name,
                 gone,
@@ -117,10 +120,10 @@
         except StoreError as error:
             self._journal.record('member.not_noted', reason=str(error))
             return
-        if noted is not None:
-            self._silent_since.pop(name, None)
+        if stored is not None:
+            self._unresponsive_since.pop(name, None)
             self._journal.record('member.gone', member=name)
 
 
 def _rank(name: str) -> bytes:
-    return weigh(_RANK_KEY, name)
+    return weigh(_RANK_DOMAIN, name)
--- a/deckdrum/node/lending.py
+++ b/deckdrum/node/lending.py
@@ -1,4 +1,4 @@
-"""Lending connections to nodes that hold none."""
+"""Lending server connections to nodes that have none."""
 
 from collections.abc import Mapping
 
@@ -28,14 +28,14 @@
 
 
 class ConnectionLender:
-    """Lends this node's connections.
+    """Lends this node's server connections to other nodes.
 
     Parameters
     ----------
     services : mapping of str to ServiceRuntime
-        The groups whose connections this node holds.
+        Database groups of this node, by name.
     counters : Counters
-        For metrics.
+        Metrics of the node.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         services: Mapping[str, ServiceRuntime],
         counters: Counters,
     ) -> None:
-        #: Connections that are lent now.
+        #: Number of connections lent now.
         self.lent = 0
         self._services = services
         self._counters = counters
@@ -51,17 +51,17 @@
     async def lend(
         self,
         channel: StreamChannel,
-        question: BorrowLink,
+        request: BorrowLink,
     ) -> None:
-        """Lend a connection and carry its bytes until it is returned.
+        """Lend a connection and relay its bytes until it is returned.
 
         Raises
         ------
         ConnectionError
-            If the borrower is gone; the connection is closed then.
+            If the borrower has disconnected; the connection is then closed.
         """
-        handle = self._find(question)
-        if handle is None or not await _is_lendable(handle, question):
+        handle = self._find_server(request)
+        if handle is None or not await _is_lendable(handle, request):
             await channel.send(_NOT_LENT)
             return
         if not await self._has_capacity(handle):
@@ -69,10 +69,10 @@
             return
         try:
             lease = await handle.acquire_own(
-                f'{LOAN_PREFIX}{question.group}',
-                question.limit,
-                question.values,
-                workspace=question.workspace,
+                f'{LOAN_PREFIX}{request.group}',
+                request.limit,
+                request.values,
+                workspace=request.workspace,
             )
         except ConnectionError:
             await channel.send(_NOT_LENT)
@@ -84,20 +84,20 @@
         self._counters.count('loans')
         self.lent += 1
         try:
-            await self._carry(channel, handle, lease)
+            await self._relay(channel, handle, lease)
         finally:
             self.lent -= 1
 
     async def _has_capacity(self, handle: ServerHandle) -> bool:
-        """Tell whether this node has, or may open, a connection of its own."""
+        """Return whether this node has, or may open, a connection to lend."""
         is_full = await curio.clock() < handle.own.full_until
         return handle.pool.idle > 0 or not is_full
 
-    def _find(self, question: BorrowLink) -> ServerHandle | None:
-        runtime = self._services.get(question.service)
-        return runtime.servers.get(question.server) if runtime else None
+    def _find_server(self, request: BorrowLink) -> ServerHandle | None:
+        runtime = self._services.get(request.service)
+        return runtime.servers.get(request.server) if runtime else None
 
-    async def _carry(
+    async def _relay(
         self,
         channel: StreamChannel,
         handle: ServerHandle,
@@ -123,24 +123,24 @@
         await channel.send(LinkReturned())
 
 
-async def _is_lendable(handle: ServerHandle, question: BorrowLink) -> bool:
-    """Tell whether a connection of this node's own may be lent.
+async def _is_lendable(handle: ServerHandle, request: BorrowLink) -> bool:
+    """Return whether a connection of this node may be lent.
 
-    One to a server that has left serves questions, which are of no group: the
-    borrower may not know yet that it leaves.
+    Connections to a server that has left are lent only for status requests,
+    which have no member group: the borrower may not know yet that it has left.
     """
-    is_barred = bool(question.group) and handle.departure.is_past_cutoff(
+    is_excluded = bool(request.group) and handle.departure.is_past_cutoff(
         await curio.clock()
     )
-    return handle.is_holder and not is_barred
+    return handle.is_holder and not is_excluded
 
 
 async def _relay_until_returned(
     channel: StreamChannel,
     stream: ByteStream,
 ) -> ReturnLink:
-    """Carry bytes both ways until the borrower returns the connection."""
-    answering = await curio.spawn(_relay_responses, channel, stream)
+    """Relay bytes both ways until the borrower returns the connection."""
+    response_task = await curio.spawn(_relay_responses, channel, stream)
     try:
         while True:
             message = await channel.receive()
@@ -148,10 +148,12 @@
                 return message
             if not isinstance(message, Carried):
                 name = type(message).__name__
-                raise ConnectionAbortedError(f'{name} on a lent connection')
+                raise ConnectionAbortedError(
+                    f'unexpected {name} message on a lent connection',
+                )
             await stream.send(message.payload)
     finally:
-        await answering.cancel()
+        await response_task.cancel()
 
 
 async def _relay_responses(channel: StreamChannel, stream: ByteStream) -> None:
@@ -159,7 +161,7 @@
         try:
             await channel.send(Carried(chunk))
         except ConnectionError:
-            # The borrower is gone; the other direction sees it too.
+            # The borrower has disconnected; the other direction fails as well.
             return
-    # The server has closed: so must the borrower's end.
+    # The server has closed the connection, so the borrower's end is closed.
     await channel.close()
--- a/deckdrum/node/peer_requests.py
+++ b/deckdrum/node/peer_requests.py
@@ -1,4 +1,4 @@
-"""Answering the questions of other nodes about primaries."""
+"""Handling requests that other nodes send to this one."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from types import MappingProxyType
@@ -28,14 +28,14 @@
 
 
 class PeerRequestHandler:
-    """Answers questions from what this node knows and reaches.
+    """Answers requests of peers from this node's state and connections.
 
     Parameters
     ----------
     services : mapping of str to ServiceRuntime
-        The node's database groups.
+        Database groups of this node, by name.
     limits : LimitCounter
-        Counts for workspaces.
+        Counts the operations of workspaces that this node coordinates.
     """
 
     def __init__(
@@ -46,21 +46,22 @@
         self._services = services
         self._limits = limits
 
-    async def answer(self, question: Message) -> Message | None:
-        """Return the answer to a question; None if it is no question."""
-        reply = _HANDLERS.get(type(question))
-        return None if reply is None else await reply(self, question)
+    async def handle(self, request: Message) -> Message | None:
+        """Return the response; None if the message is not a known request."""
+        respond = _HANDLERS.get(type(request))
+        return None if respond is None else await respond(self, request)
 
-    async def _send_back(self, question: Heartbeat) -> Message:
-        return question
+    async def _echo(self, request: Heartbeat) -> Message:
+        return request
 
-    async def _report_server(self, question: AskServer) -> Message:
-        runtime = self._services.get(question.service)
-        handle = runtime.servers.get(question.server) if runtime else None
+    async def _report_server(self, request: AskServer) -> Message:
+        runtime = self._services.get(request.service)
+        handle = runtime.servers.get(request.server) if runtime else None
         if runtime is None or handle is None:
             return _NOT_REACHED_AS_PRIMARY
-        if runtime.leadership_state.has_restarted(question.server):
-            # Its word that it leads is of no use: its log is empty.
+        if runtime.leadership_state.has_restarted(request.server):
+            # A restarted server has an empty log, so it is no usable primary
+            # even if it reports that role.
             return _NOT_REACHED_AS_PRIMARY
         now = await curio.clock()
         if _has_answered_as_primary(
@@ -75,36 +76,37 @@
         if status is not None and status.role is ServerRole.PRIMARY:
             return ServerAnswer(reached=True, leads_term=status.term)
         if status is None and _has_answered_as_primary(runtime, handle, now):
-            # It refused the question for want of room.
+            # The server rejected the status request because it is at capacity,
+            # which shows that it is up.
             return ServerAnswer(
                 reached=True, leads_term=runtime.leadership_state.term
             )
         return _NOT_REACHED_AS_PRIMARY
 
-    async def _tell_proof(self, question: AskProof) -> Message:
-        runtime = self._services.get(question.service)
+    async def _report_proof(self, request: AskProof) -> Message:
+        runtime = self._services.get(request.service)
         if runtime is None:
             return ProofAnswer(-1)
-        return ProofAnswer(await runtime.fetch_proof_age(question.term))
+        return ProofAnswer(await runtime.fetch_proof_age(request.term))
 
-    async def _report_sample(self, question: AskSample) -> Message:
-        runtime = self._services.get(question.service)
+    async def _report_sample(self, request: AskSample) -> Message:
+        runtime = self._services.get(request.service)
         if runtime is None:
             return SampleAnswer(0, 0, -1)
         return await runtime.samples.tell()
 
-    async def _count_operation(self, question: AskLimit) -> Message:
-        return await self._limits.answer(question)
+    async def _count_operation(self, request: AskLimit) -> Message:
+        return await self._limits.answer(request)
 
-    async def _end_term(self, question: EndTerm) -> Message:
-        runtime = self._services.get(question.service)
+    async def _end_term(self, request: EndTerm) -> Message:
+        runtime = self._services.get(request.service)
         if runtime is not None:
             await runtime.close_term(
-                question.term,
-                question.may_finish,
-                question.fence,
+                request.term,
+                request.may_finish,
+                request.fence,
             )
-        return TermEnded(question.service, question.term)
+        return TermEnded(request.service, request.term)
 
 
 def _has_answered_as_primary(
@@ -116,13 +118,13 @@
     return is_primary and handle.has_answered(since)
 
 
-_Reply = Callable[[PeerRequestHandler, Any], Awaitable[Message]]
-_Replies = MappingProxyType[type[Message], _Reply]
-_HANDLERS: Final[_Replies] = MappingProxyType(
+_HandlerMethod = Callable[[PeerRequestHandler, Any], Awaitable[Message]]
+_Handlers = MappingProxyType[type[Message], _HandlerMethod]
+_HANDLERS: Final[_Handlers] = MappingProxyType(
     {
-        Heartbeat: PeerRequestHandler._send_back,
+        Heartbeat: PeerRequestHandler._echo,
         AskLimit: PeerRequestHandler._count_operation,
-        AskProof: PeerRequestHandler._tell_proof,
+        AskProof: PeerRequestHandler._report_proof,
         AskSample: PeerRequestHandler._report_sample,
         AskServer: PeerRequestHandler._report_server,
         EndTerm: PeerRequestHandler._end_term,
--- a/deckdrum/node/registration.py
+++ b/deckdrum/node/registration.py
@@ -1,4 +1,4 @@
-"""Registering a node among the others, and forgetting those that are gone."""
+"""Registering a node in the control store, and removing its entry."""
 
 import uuid
 from typing import Final
@@ -11,25 +11,23 @@
 from deckdrum.outcomes.errors import StoreError
 from deckdrum.utils import Journal
 
-#: Pause between two looks at the own registration, in seconds.
-LOOK_PAUSE: Final = 1.0
-#: Longest wait for the store when a node leaves, in seconds.
+REGISTRATION_CHECK_INTERVAL_S: Final = 1.0
 DEREGISTER_TIMEOUT_S: Final = 0.3
 
 
 class NodeRegistration:
-    """Keeps a node's entry among the members.
+    """Keeps a node registered in the control store.
 
     Parameters
     ----------
     settings : NodeSettings
-        The node.
+        Settings of the node.
     view : ControlView
-        What it knows of the store.
+        The node's local copy of the store.
     store : ControlStore
-        Where the entry lies.
+        Holds the node's entry.
     journal : Journal
-        For changes.
+        Receives an event when the store rejects a write.
     """
 
     def __init__(
@@ -43,9 +41,9 @@
         self._view = view
         self._store = store
         self._journal = journal
-        self._is_leaving = False
-        #: Whether the store has known this node since a former life, so that
-        #: changes of primary ask it since before this one began.
+        self._is_deregistered = False
+        #: Whether an earlier incarnation of this node is registered, so that
+        #: primary changes have asked for its consent since before the start.
         self.was_registered = False
         self._has_checked_registration = False
         self._member = Member(
@@ -56,41 +54,45 @@
         )
 
     async def run(self) -> None:
-        """Keep the entry for ever."""
+        """Renew the entry whenever it is missing or replaced, without end."""
         while True:
             entry = self._view.get_member(self._settings.name)
             is_known = self._view.get_revision(Kind.MEMBERS) > 0
             is_own = entry is not None and entry.record == self._member
-            if is_known and not is_own and not self._is_leaving:
+            if is_known and not is_own and not self._is_deregistered:
                 await self._register(entry)
-            await curio.sleep(LOOK_PAUSE if is_known else LOOK_PAUSE / 10)
+            await curio.sleep(
+                REGISTRATION_CHECK_INTERVAL_S
+                if is_known
+                else REGISTRATION_CHECK_INTERVAL_S / 10
+            )
 
-    def note_change(self) -> None:
-        """Learn from the first list whether there was a former life."""
+    def check_previous_registration(self) -> None:
+        """Find out from the first member list if the node was registered."""
         if self._has_checked_registration or not self._view.get_revision(
             Kind.MEMBERS
         ):
             return
         self._has_checked_registration = True
         entry = self._view.get_member(self._settings.name)
-        # The entry may be this life's own if the list was empty.
+        # If the list was empty, this incarnation may already have registered.
         is_own = entry is not None and entry.record == self._member
         self.was_registered = entry is not None and not is_own
 
     @property
     def member(self) -> Member:
-        """The node, as it registers itself."""
+        """The record under which the node registers."""
         return self._member
 
     async def announce_leaving(self) -> None:
-        """Tell the others that this node is to leave."""
+        """Mark this node's entry as leaving."""
         self._member = replace(self._member, is_leaving=True)
         async with curio.ignore_after(DEREGISTER_TIMEOUT_S):
             await self._register(self._view.get_member(self._settings.name))
 
     async def deregister(self) -> None:
-        """Take the entry away."""
-        self._is_leaving = True
+        """Remove the entry from the store."""
+        self._is_deregistered = True
         entry = self._view.get_member(self._settings.name)
         if entry is None:
             return
@@ -100,7 +102,7 @@
                     Kind.MEMBERS, entry.name, entry.revision
                 )
         except (StoreError, curio.TaskTimeout) as error:
-            # The entry stays; the next life of this node replaces it.
+            # The next incarnation of this node replaces the entry.
             self._journal.record('member.not_withdrawn', reason=repr(error))
 
     async def _register(self, known: Entry | None) -> None:
@@ -119,9 +121,9 @@
             await self._fetch_own_entry()
 
     async def _fetch_own_entry(self) -> None:
-        """Take over what lies under the own name."""
+        """Read this node's entry from the store into the view."""
         try:
             await self._view.fetch(Kind.MEMBERS, self._settings.name)
         except StoreError:
-            # The next look tries again.
+            # Retried by the next check of the registration.
             return
--- a/deckdrum/node/services.py
+++ b/deckdrum/node/services.py
@@ -1,4 +1,4 @@
-"""The database groups of a node, kept in step with its view of the store."""
+"""The database groups of a node, updated from its view of the store."""
 
 from collections.abc import Callable
 from typing import Any
@@ -21,40 +21,41 @@
 
 
 class ServiceManager:
-    """Opens the groups that the configuration declares.
+    """Opens the database groups that the configuration declares.
 
     Parameters
     ----------
     tools : ChangeTools
-        What the node provides.
-    make_direct : callable
-        Makes what connects to a server.
+        The node's view, store, peers and other dependencies.
+    make_backend : callable
+        Creates the backend that connects to a server.
     journal : Journal
-        For logs.
+        Log of the node.
     counters : Counters
-        For metrics.
+        Metrics of the node.
     """
 
     def __init__(
         self,
         tools: LeadershipContext,
-        make_direct: Callable[[BackendServer], Backend],
+        make_backend: Callable[[BackendServer], Backend],
         journal: Journal,
         counters: Counters,
     ) -> None:
         self.services: dict[str, ServiceRuntime] = {}
         self._tools = tools
-        self._make_direct = make_direct
+        self._make_backend = make_backend
         self._journal = journal
         self._counters = counters
-        #: Tells what was counted.
-        self.figures = StatisticsLogger(self.services, counters, journal)
+        self.statistics_logger = StatisticsLogger(
+            self.services, counters, journal
+        )
         self._executions: dict[str, Execution] = {}
         self._forwarders: dict[str, Forwarder] = {}
         self._supervisor_tasks: list[Any] = []
 
     def find_execution(self, service: str) -> Execution | None:
-        """Return what runs statements of a group at this node itself."""
+        """Return what runs a group's statements on this node."""
         return self._executions.get(service)
 
     def find_runner(
@@ -62,30 +63,32 @@
         service: str,
         workspace: str,
     ) -> StatementRunner | None:
-        """Return what runs a workspace's statements, here or elsewhere."""
+        """Return the local or remote runner of a workspace's statements."""
         runtime = self.services.get(service)
         if runtime is not None and runtime.holding.find_holders(workspace):
             return self._forwarders[service]
         return self.find_execution(service)
 
-    async def adopt(self, own: Member, *, was_registered: bool) -> None:
-        """Take over the view: groups, servers, leadership and members.
+    async def apply_view(self, own: Member, *, was_registered: bool) -> None:
+        """Update groups, servers, leadership and allocation from the view.
 
-        `was_registered` tells that the store has known this node since before
-        it listed anything.
+        `was_registered` tells that an earlier incarnation of this node was in
+        the first member list that it read.
         """
         configuration = self._tools.view.configuration
         if configuration is None:
             return
-        book = configuration.workspaces
-        workspaces = len(book.workspaces) if book else 0
+        workspace_book = configuration.workspaces
+        workspace_count = (
+            len(workspace_book.workspaces) if workspace_book else 0
+        )
         for declaration in configuration.services.values():
-            await self._apply_declaration(declaration, own, workspaces)
+            await self._apply_declaration(declaration, own, workspace_count)
             if was_registered:
                 await self._apply_leadership_proof(declaration.name)
 
     async def close(self) -> None:
-        """Stop to watch the groups, and close idle connections."""
+        """Stop supervising the groups and close idle connections."""
         for task in self._supervisor_tasks:
             await task.cancel(blocking=False)
         for runtime in self.services.values():
@@ -95,7 +98,7 @@
         self,
         declaration: ServiceDeclaration,
         own: Member,
-        workspaces: int,
+        workspace_count: int,
     ) -> None:
         view = self._tools.view
         name = declaration.name
@@ -108,17 +111,17 @@
             if server.service == name
         }
         await runtime.adopt_servers(listed, view.find_departure)
-        await runtime.deal(declaration, own, view.members, workspaces)
+        await runtime.deal(declaration, own, view.members, workspace_count)
         known = view.get_leadership(name)
         if known is not None:
             await runtime.leadership_state.adopt_record(*known)
 
     async def _apply_leadership_proof(self, service: str) -> None:
-        """Take the list of leadership as proof, so that no server is asked.
+        """Use the listed leadership records as proof, without asking a server.
 
-        It is as good as a record read by itself, but only to a node that was
-        registered when it asked: a change that began in between has asked
-        every registered node, and waited for no other.
+        They prove leadership only if this node was registered when it read
+        them: a primary change that began since then waits for the consent of
+        the registered nodes only.
         """
         view = self._tools.view
         listed_at = view.listed_at.get(Kind.LEADERSHIP)
@@ -136,7 +139,7 @@
     ) -> ServiceRuntime:
         runtime = ServiceRuntime(
             declaration,
-            self._make_direct,
+            self._make_backend,
             self._tools.store,
             self._tools.peers,
             self._journal,
--- a/deckdrum/node/session_host.py
+++ b/deckdrum/node/session_host.py
@@ -1,4 +1,4 @@
-"""What the sessions of a node's callers need of it."""
+"""Opening callers' sessions and providing the services they depend on."""
 
 from deckdrum.control import Access, ControlView, Route, find_access
 from deckdrum.fleet.node_peers import NodePeers
@@ -21,24 +21,25 @@
 
 
 class NodeHost(SessionHost):
-    """Opens sessions, and gives them what they need of the node.
+    """Opens sessions and connects them to the node's services.
 
     Parameters
     ----------
     settings : NodeSettings
-        The node.
+        Settings of the node.
     view : ControlView
-        Knows the configuration in force.
+        Provides the current configuration.
     peers : NodePeers
-        The other nodes, some of which count for workspaces.
-    book : ServiceBook
-        Knows what runs statements.
-    sessions : SessionBook
-        Keeps the open sessions.
+        Connections to the other nodes, some of which coordinate the limits of
+        workspaces.
+    service_manager : ServiceManager
+        Provides what runs the statements of each group.
+    session_manager : SessionManager
+        Tracks the open sessions.
     journal : Journal
-        For operations that limits turn away.
+        Receives events for operations that a limit rejects.
     counters : Counters
-        For metrics.
+        Metrics of the node.
     """
 
     def __init__(
@@ -46,13 +47,13 @@
         settings: NodeSettings,
         view: ControlView,
         peers: NodePeers,
-        book: ServiceManager,
-        sessions: SessionManager,
+        service_manager: ServiceManager,
+        session_manager: SessionManager,
         journal: Journal,
         counters: Counters,
     ) -> None:
         self.policies = settings.policies
-        #: Counts for the workspaces whose limits this node keeps.
+        #: Counts the operations of workspaces that this node coordinates.
         self.counter = LimitCounter(
             settings.name,
             view,
@@ -60,8 +61,8 @@
             settings.limit_tolerance,
         )
         self._view = view
-        self._book = book
-        self._sessions = sessions
+        self._service_manager = service_manager
+        self._session_manager = session_manager
         self._limits = LimitClient(
             settings.name,
             view,
@@ -76,17 +77,17 @@
         database: str,
         fingerprint: str = '',
     ) -> CallerSession | Refusal:
-        """Open a session of a caller, who has the key of a fingerprint."""
+        """Open a session for a caller with the key of this fingerprint."""
         session = CallerSession(self, database, fingerprint)
         access = self.find_access(session.state)
         if isinstance(access, Refusal):
-            self._sessions.note_refused(database, access)
+            self._session_manager.log_refused_session(database, access)
             return access
-        self._sessions.add(session)
+        self._session_manager.add(session)
         return session
 
     def find_access(self, state: SessionState) -> Access | Refusal:
-        """Return what a session may use now."""
+        """Return the access that the current configuration grants."""
         return find_access(
             self._view.configuration,
             state.database,
@@ -94,7 +95,7 @@
         )
 
     async def spend_limit(self, access: Access) -> Refusal | None:
-        """Begin an operation within its workspace's limit, or refuse it."""
+        """Count an operation against its workspace's limit, or refuse it."""
         return await self._limits.try_begin(access.workspace)
 
     def find_runner(
@@ -102,12 +103,12 @@
         service: str,
         workspace: str,
     ) -> StatementRunner | None:
-        """Return what runs a workspace's statements, here or elsewhere."""
-        return self._book.find_runner(service, workspace)
+        """Return the local or remote runner of a workspace's statements."""
+        return self._service_manager.find_runner(service, workspace)
 
     def find_execution(self, service: str) -> Execution | None:
-        """Return what runs statements of a group at this node itself."""
-        return self._book.find_execution(service)
+        """Return what runs a group's statements on this node."""
+        return self._service_manager.find_execution(service)
 
     def note_outcome(
         self,
@@ -116,9 +117,11 @@
         outcome: Outcome,
         seconds: float,
     ) -> None:
-        """Count an operation, and log it if it was unserved or late."""
+        """Count an operation, and log it if it was refused or late."""
         route = self._find_route(session.state.database)
-        self._sessions.note_outcome(session, request, outcome, seconds, route)
+        self._session_manager.record_outcome(
+            session, request, outcome, seconds, route
+        )
 
     def _find_route(self, database: str) -> Route | None:
         configuration = self._view.configuration
--- a/deckdrum/node/sessions.py
+++ b/deckdrum/node/sessions.py
@@ -14,7 +14,7 @@
 from deckdrum.utils import Journal
 from deckdrum.utils.counters import Counters
 
-#: What turned statements away, as figures name it; a doubt has no cause here.
+#: Labels of refused statements in the statistics, by refusal code.
 REFUSAL_LABELS: Final = MappingProxyType(
     {
         Code.LIMIT_REACHED: 'limit',
@@ -30,27 +30,28 @@
 
 
 class SessionManager(SessionRegistry):
-    """Knows the open sessions, and ends transactions that rest.
+    """Tracks the open sessions and rolls back idle transactions.
 
     Parameters
     ----------
     journal : Journal
-        For transactions that are given up.
+        Receives events for refused sessions, refused or late statements, and
+        transactions that are rolled back.
     counters : Counters
-        For metrics.
-    read_version : callable
-        Returns the version of the configuration in force.
+        Metrics of the node.
+    get_version : callable
+        Returns the version of the current configuration.
     """
 
     def __init__(
         self,
         journal: Journal,
         counters: Counters,
-        read_version: Callable[[], int],
+        get_version: Callable[[], int],
     ) -> None:
         self._journal = journal
         self._counters = counters
-        self._read_version = read_version
+        self._get_version = get_version
         self._sessions: set[CallerSession] = set()
 
     @property
@@ -64,21 +65,21 @@
         return sum(not session.is_inactive for session in self._sessions)
 
     def add(self, session: CallerSession) -> None:
-        """Enter a session that has just been opened."""
+        """Add a session that has been opened."""
         self._sessions.add(session)
 
     def discard(self, session: CallerSession) -> None:
-        """Forget a session that has ended."""
+        """Remove a session that has ended."""
         self._sessions.discard(session)
 
-    def note_refused(self, database: str, refusal: Refusal) -> None:
-        """Count and log a caller whose session was not opened."""
+    def log_refused_session(self, database: str, refusal: Refusal) -> None:
+        """Count and log a session that was refused."""
         self._counters.count('refused_sessions')
         self._journal.record_often(
             'session.refused',
             database=database,
             reason=refusal.text,
-            version=self._read_version(),
+            version=self._get_version(),
         )
 
     async def close(self, session: CallerSession) -> None:
@@ -86,8 +87,8 @@
         self.discard(session)
         await session.close()
 
-    async def abandon_transactions(self, reason: str) -> None:
-        """Roll back every transaction that rests between statements."""
+    async def rollback_transactions(self, reason: str) -> None:
+        """Roll back every transaction that is between two statements."""
         for session in list(self._sessions):
             if session.has_idle_transaction:
                 self._journal.record(
@@ -97,16 +98,16 @@
                 )
                 await session.abort_transaction(reason)
 
-    async def rollback_idle_transactions(self, limit: float) -> None:
-        """Roll back transactions that have rested for over `limit` seconds."""
-        oldest = await curio.clock() - limit
+    async def rollback_idle_transactions(self, timeout: float) -> None:
+        """Roll back transactions that were idle for over `timeout` seconds."""
+        oldest = await curio.clock() - timeout
         for session in list(self._sessions):
             is_idle = session.idle_since < oldest
             if is_idle and session.has_idle_transaction:
                 self._counters.count('idle_transactions')
                 await session.abort_transaction('it rested too long')
 
-    def note_outcome(
+    def record_outcome(
         self,
         session: CallerSession,
         request: Request,
@@ -114,11 +115,11 @@
         seconds: float,
         route: Route | None,
     ) -> None:
-        """Count an operation, and log it if it was unserved or late."""
+        """Count an operation, and log it if it was refused or late."""
         guarantee = route.guarantee.value if route else 'none'
         is_refused = isinstance(outcome, Refusal)
-        fate = outcome.code if isinstance(outcome, Refusal) else 'done'
-        self._counters.note_latency(guarantee, fate, seconds)
+        outcome_code = outcome.code if isinstance(outcome, Refusal) else 'done'
+        self._counters.note_latency(guarantee, outcome_code, seconds)
         is_late = route is not None and seconds > route.objective
         service = route.service if route else ''
         if _is_counted(request, outcome):
@@ -139,12 +140,12 @@
             standing=session.standing,
             outcome=outcome.text if isinstance(outcome, Refusal) else 'done',
             seconds=round(seconds, 3),
-            version=self._read_version(),
+            version=self._get_version(),
         )
 
 
 def get_outcome_label(outcome: Outcome, *, is_late: bool) -> str:
-    """Return what became of a statement, as figures name it.
+    """Return the label of a statement's outcome in the statistics.
 
     Examples
     --------
@@ -162,9 +163,10 @@
 
 
 def _is_counted(request: Request, outcome: Outcome) -> bool:
-    """Tell whether a request counts as a statement of its caller.
+    """Return whether a request is counted in the statement statistics.
 
-    What the node answers by itself does not, unless it refuses to begin.
+    Requests that the node answers without a server are not, except for a
+    refused BEGIN.
     """
     if isinstance(request.operation, Run | Execute | Commit):
         return True
--- a/deckdrum/node/statistics_logger.py
+++ b/deckdrum/node/statistics_logger.py
@@ -1,4 +1,4 @@
-"""Telling a node's figures in its log, for `deckdrumctl report`."""
+"""Logging a node's statistics for `deckdrumctl report`."""
 
 from collections import Counter
 from collections.abc import Mapping
@@ -11,22 +11,21 @@
 from deckdrum.utils import Journal
 from deckdrum.utils.counters import Counters
 
-#: Pause between two lines of figures, in seconds: the figures of a node that
-#: ends without a word are known but for those since the last line.
+#: A node that crashes loses at most the statistics of one interval.
 STATISTICS_INTERVAL_S: Final = 5.0
 
 
 class StatisticsLogger:
-    """Logs what a node has counted so far, as often as it grows.
+    """Logs a node's cumulative statistics whenever they have changed.
 
     Parameters
     ----------
     services : mapping of str to ServiceRuntime
-        Database groups, whose connections are counted.
+        Database groups; their connection pools provide statistics.
     counters : Counters
-        What else was counted.
+        Counts store calls and statements.
     journal : Journal
-        Where it is told.
+        Receives the statistics.
     """
 
     def __init__(
@@ -38,16 +37,16 @@
         self._services = services
         self._counters = counters
         self._journal = journal
-        self._told: dict[str, dict[str, Any]] = {}
+        self._last_logged: dict[str, dict[str, Any]] = {}
 
     async def run(self) -> None:
-        """Log figures for ever."""
+        """Log statistics periodically, without end."""
         while True:
             await curio.sleep(STATISTICS_INTERVAL_S)
-            self.tell()
+            self.log_changed()
 
-    def tell(self) -> None:
-        """Log the figures that have grown since they were told."""
+    def log_changed(self) -> None:
+        """Log the statistics that have changed since they were last logged."""
         calls = self._counters.describe_store_calls()
         self._log_if_changed('store.calls', {'calls': calls})
         work = self._counters.describe_work()
@@ -58,14 +57,16 @@
         }
         self._log_if_changed('connection.figures', {'connections': connections})
 
-    def _log_if_changed(self, event: str, figures: dict[str, Any]) -> None:
-        if any(figures.values()) and figures != self._told.get(event):
-            self._told[event] = figures
-            self._journal.record(event, **figures)
+    def _log_if_changed(self, event: str, statistics: dict[str, Any]) -> None:
+        if any(statistics.values()) and statistics != self._last_logged.get(
+            event
+        ):
+            self._last_logged[event] = statistics
+            self._journal.record(event, **statistics)
 
 
 def count_connections(runtime: ServiceRuntime) -> dict[str, int]:
-    """Return what became of a node's connections to a group so far."""
+    """Return a node's cumulative connection statistics for a group."""
     total = Counter(runtime.removed_server_stats)
     for handle in runtime.servers.values():
         total.update(asdict(handle.pool.figures))
--- a/deckdrum/node/stopping.py
+++ b/deckdrum/node/stopping.py
@@ -1,4 +1,4 @@
-"""The planned stop of a node: nothing under way is cut."""
+"""Graceful shutdown of a node, which lets statements in progress finish."""
 
 from abc import ABC, abstractmethod
 from typing import Final
@@ -7,25 +7,24 @@
 
 from deckdrum.node.core import Node
 
-#: How long after a request to stop new connections still come, in seconds:
-#: the platform asks each second and believes the second refusal.
+#: Time until the platform stops sending new connections: it checks readiness
+#: every second and acts on the second failure.
 READINESS_PROPAGATION_S: Final = 2.3
-#: Time before the kill from which on no new connection is taken, in seconds:
-#: longer than a statement may take (0.8 to 2 s).
+#: Time before the kill at which the node stops accepting connections; longer
+#: than the statement timeouts (0.8 to 2 s).
 ACCEPT_CUTOFF_S: Final = 2.7
-#: Time kept before the kill, in seconds.
+#: Time before the kill at which the node closes.
 KILL_MARGIN_S: Final = 0.5
-#: Pause between two looks at the connections that are left, in seconds.
 DRAIN_POLL_INTERVAL_S: Final = 0.1
-#: Share of the resting connections closed at each look, so that callers do
-#: not all come back at once.
+#: Fraction of the idle connections closed per poll, so that callers do not
+#: all reconnect at once.
 IDLE_CLOSE_FRACTION: Final = 0.3
-#: Part of the time in which open transactions may end.
+#: Fraction of the grace period in which open transactions may finish.
 TRANSACTION_DRAIN_FRACTION: Final = 0.5
 
 
 class ClientListener(ABC):
-    """Where callers connect."""
+    """Accepts callers' connections."""
 
     @property
     @abstractmethod
@@ -34,11 +33,11 @@
 
     @abstractmethod
     async def close_quiet(self, share: float) -> None:
-        """Close a share (0 to 1) of the connections at rest."""
+        """Close a fraction (0 to 1) of the idle connections."""
 
     @abstractmethod
     async def stop_accepting(self) -> None:
-        """Refuse new connections; open ones go on."""
+        """Refuse new connections and keep the open ones."""
 
     @abstractmethod
     async def close(self) -> None:
@@ -46,28 +45,29 @@
 
 
 class GracefulShutdown:
-    """Stops a node within the time before its kill.
+    """Shuts a node down before the platform kills it.
 
-    1. At once the node is not ready; whoever still comes is served.
-    2. When nobody is sent here any more, connections at rest are closed.
-    3. After half of the time open transactions are rolled back, and sessions
-       end as soon as they are at rest.
-    4. In time for the last statement no new connection is taken.
+    1. The node reports not ready at once, but still serves new connections.
+    2. Once the platform sends no more connections, idle ones are closed.
+    3. After half of the grace period open transactions are rolled back, and
+       sessions are closed as soon as they are idle.
+    4. The node stops accepting connections early enough to finish the
+       statements of the last ones.
 
     Parameters
     ----------
     node : Node
         The node.
-    entrance : Entrance
-        Where its callers connect.
+    listener : ClientListener
+        Accepts its callers' connections.
     """
 
-    def __init__(self, node: Node, entrance: ClientListener) -> None:
+    def __init__(self, node: Node, listener: ClientListener) -> None:
         self._node = node
-        self._entrance = entrance
+        self._listener = listener
 
     async def run(self, grace: float) -> None:
-        """Stop the node within `grace` seconds."""
+        """Shut the node down within `grace` seconds."""
         await self._node.begin_shutdown()
         began = await curio.clock()
         elapsed: float = 0
@@ -78,21 +78,21 @@
             await curio.sleep(DRAIN_POLL_INTERVAL_S)
             elapsed = await curio.clock() - began
         await self._node.close()
-        await self._entrance.close()
+        await self._listener.close()
 
     async def _run_due_steps(self, elapsed: float, grace: float) -> None:
-        """Take the steps that are due after `elapsed` seconds."""
+        """Run the shutdown steps due after `elapsed` seconds."""
         half = grace * TRANSACTION_DRAIN_FRACTION
         if elapsed >= min(READINESS_PROPAGATION_S, half):
-            await self._entrance.close_quiet(IDLE_CLOSE_FRACTION)
+            await self._listener.close_quiet(IDLE_CLOSE_FRACTION)
         if elapsed >= half:
             self._node.is_closing_sessions = True
-            await self._node.abandon_transactions('the node stops')
+            await self._node.rollback_transactions('the node stops')
         if elapsed >= grace - ACCEPT_CUTOFF_S:
-            # New connections come as long as there are few other nodes;
-            # what comes later could not be answered in time.
-            await self._entrance.stop_accepting()
+            # The platform keeps sending connections while few other nodes are
+            # ready; requests on them could not be answered before the kill.
+            await self._listener.stop_accepting()
 
     def _is_drained(self) -> bool:
         is_used_by_others = self._node.lent or self._node.forwarded
-        return not self._entrance.connections and not is_used_by_others
+        return not self._listener.connections and not is_used_by_others
--- a/deckdrum/node/tests/test_lifecycle.py
+++ b/deckdrum/node/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Start, stop, registration and peers of nodes, in virtual time."""
+"""Start, shutdown, registration and peers of nodes, in virtual time."""
 
 import io
 import json
@@ -17,7 +17,7 @@
 from deckdrum.utils import Address
 
 
-def test_nodes_register_and_withdraw() -> None:
+def test_nodes_register_and_deregister() -> None:
     async def scenario(deployment: Deployment) -> None:
         node = deployment.nodes[0].node
         await deployment.wait_for(lambda: len(node.view.members) == 3)
@@ -38,7 +38,7 @@
     play(scenario)
 
 
-def test_connections_are_shared_between_nodes() -> None:
+def test_connections_are_allocated_evenly_to_nodes() -> None:
     async def scenario(deployment: Deployment) -> None:
         node = deployment.nodes[0].node
         await deployment.wait_for(lambda: len(node.view.members) == 6)
@@ -49,13 +49,13 @@
             for handle in running.node.services[SERVICE].servers.values()
         ]
         assert set(slots) == {1, 2}
-        # Half of 23 for each of three servers, rounded down.
+        # Half of 23 for event of three servers, rounded down.
         assert sum(slots) == 3 * 11
 
     play(scenario, nodes=6, max_connections=23)
 
 
-def test_stopping_node_is_not_ready_and_serves_on() -> None:
+def test_stopping_node_is_not_ready_but_serves_open_sessions() -> None:
     async def scenario(deployment: Deployment) -> None:
         node = deployment.nodes[0].node
         client = await deployment.connect(CURRENT)
@@ -67,7 +67,7 @@
     play(scenario)
 
 
-def test_quiet_connections_are_closed_and_busy_ones_are_not() -> None:
+def test_only_idle_connections_are_closed() -> None:
     async def scenario(deployment: Deployment) -> None:
         quiet = await deployment.connect(CURRENT)
         busy = await deployment.connect(CURRENT)
@@ -83,12 +83,12 @@
     play(scenario)
 
 
-def test_stop_ends_open_transactions_with_a_true_promise() -> None:
+def test_shutdown_rolls_back_open_transactions_as_reported() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('BEGIN')
         await client.ask('WRITE a 1')
-        await deployment.nodes[0].node.abandon_transactions('the node stops')
+        await deployment.nodes[0].node.rollback_transactions('the node stops')
         reply = await client.ask('COMMIT')
         assert reply.text.startswith('ABORTED')
         assert not deployment.group.primary.log
@@ -96,9 +96,9 @@
     play(scenario)
 
 
-def test_requests_that_come_during_a_stop_are_all_answered() -> None:
+def test_requests_during_shutdown_are_answered() -> None:
     async def scenario(deployment: Deployment) -> None:
-        """Callers keep coming to a node that stops, as in a small zone."""
+        """Callers keep connecting, as in a data centre with few nodes."""
         running = deployment.nodes.pop(0)
         address = running.frontend.address
         stop = GracefulShutdown(running.node, running.frontend)
@@ -126,14 +126,14 @@
     address: Address,
     unanswered: list[str],
 ) -> None:
-    """Call with new sessions until none is taken any more."""
+    """Open new sessions until the node refuses connections."""
     while True:
         try:
             client = await LineClient.connect(address, CURRENT)
         except ConnectionError:
             return
-        # A node closes at rest, so only the first request of a session must
-        # be answered; the caller asks the others again.
+        # The node may close idle sessions, so only the first request of event
+        # must be answered; callers repeat the others.
         if not await _is_answered(client, 'READ a'):
             unanswered.append('READ a')
         await _is_answered(client, 'READ b')
@@ -164,7 +164,7 @@
     play(scenario)
 
 
-def test_caller_of_a_node_without_configuration_is_told_to_return() -> None:
+def test_caller_of_a_node_without_configuration_is_refused_as_not_run() -> None:
     async def scenario(deployment: Deployment) -> None:
         deployment.store.turned_away['n3'] = StoreFault.SILENT
         deployment.nodes.append(await deployment.start_node(3))
@@ -174,7 +174,7 @@
     play(scenario)
 
 
-def test_node_starts_from_its_peers_while_the_store_is_away() -> None:
+def test_node_starts_from_its_peers_while_the_store_is_unavailable() -> None:
     async def scenario(deployment: Deployment) -> None:
         deployment.store.turned_away['n3'] = StoreFault.BUSY
         seeds = tuple(
@@ -190,7 +190,7 @@
     play(scenario)
 
 
-def test_unserved_and_late_requests_are_logged_with_their_id() -> None:
+def test_refused_and_late_requests_are_logged_with_their_id() -> None:
     async def scenario(deployment: Deployment) -> list[dict[str, object]]:
         lines = io.StringIO()
         running = await deployment.start_node(3, lines=lines)
@@ -204,28 +204,28 @@
         await client.read_reply()
         return [json.loads(line) for line in lines.getvalue().splitlines()]
 
-    told = play(scenario, work=0.3)
-    told = [
-        each
-        for each in told
-        if each['event'] in {'request.late', 'request.unserved'}
+    entries = play(scenario, work=0.3)
+    entries = [
+        entry
+        for entry in entries
+        if entry['event'] in {'request.late', 'request.unserved'}
     ]
-    events = {each['request']: each['event'] for each in told}
+    events = {entry['request']: entry['event'] for entry in entries}
     assert events == {
         'id-late': 'request.late',
         'id-doubt': 'request.unserved',
     }
-    doubt = next(each for each in told if each['request'] == 'id-doubt')
+    doubt = next(entry for entry in entries if entry['request'] == 'id-doubt')
     assert doubt['outcome'].startswith('unknown')
     assert doubt['service'] == SERVICE
 
 
-def test_node_that_is_lost_for_good_is_noted() -> None:
+def test_primary_changes_after_failed_nodes_are_marked_as_gone() -> None:
     async def scenario(deployment: Deployment) -> None:
-        """Two of five machines are lost, then the primary."""
+        """Two of five nodes fail, then the primary."""
         client = await deployment.connect(CURRENT, node=0)
         await client.ask('WRITE a 1')
-        await _lose_nodes(deployment, (3, 4))
+        await _fail_nodes(deployment, (3, 4))
         await deployment.group.primary.crash()
         done = False
         for _ in range(100):
@@ -238,12 +238,12 @@
     play(scenario, nodes=5)
 
 
-def test_nodes_that_note_most_others_as_gone_change_nothing() -> None:
+def test_minority_of_nodes_changes_no_primary() -> None:
     async def scenario(deployment: Deployment) -> None:
-        """The others may be cut off together and serve on."""
+        """The others may be partitioned off together and still serve."""
         client = await deployment.connect(CURRENT, node=0)
         await client.ask('WRITE a 1')
-        await _lose_nodes(deployment, (2, 3, 4))
+        await _fail_nodes(deployment, (2, 3, 4))
         await deployment.group.primary.crash()
         await curio.sleep(8)
         assert not deployment.group.promotions
@@ -251,14 +251,14 @@
     play(scenario, nodes=5)
 
 
-async def _lose_nodes(
+async def _fail_nodes(
     deployment: Deployment,
     numbers: tuple[int, ...],
 ) -> None:
-    """Silence nodes until the others have noted them as gone."""
+    """Make nodes unresponsive until the others have marked them as gone."""
     for number in numbers:
-        deployment.nodes[number].node.peers.answer = _stay_silent
-        # What they would write themselves does not reach the store.
+        deployment.nodes[number].node.peers.answer = _never_answer
+        # Keeps them from renewing their own entries in the store.
         deployment.store.turned_away[f'n{number}'] = StoreFault.SILENT
     await curio.sleep(16)
     members = deployment.nodes[0].node.view.members
@@ -266,7 +266,7 @@
     assert gone == {f'n{number}' for number in numbers}
 
 
-def test_node_that_was_noted_as_gone_registers_again() -> None:
+def test_node_marked_as_gone_registers_again() -> None:
     async def scenario(deployment: Deployment) -> None:
         name = deployment.nodes[1].node.settings.name
         raw = deployment.store.read('deckdrum-members', name)
@@ -281,17 +281,17 @@
     play(scenario)
 
 
-async def _stay_silent(_: object) -> None:
+async def _never_answer(_: object) -> None:
     await curio.sleep(60)
 
 
-def test_starting_nodes_ask_the_listed_primary_first() -> None:
+def test_starting_nodes_query_the_listed_primary_first() -> None:
     async def scenario(deployment: Deployment) -> None:
         asked = [
             running.node.counters.events['status_questions']
             for running in deployment.nodes
         ]
-        # The primary, and one replica for proof.
+        # The primary, and one replica for the leadership proof.
         assert max(asked) <= 2
 
     play(scenario, settle=0)
