--- a/deckdrum/serving/__init__.py
+++ b/deckdrum/serving/__init__.py
@@ -1,4 +1,4 @@
-"""Serving callers' operations: sessions, routing, retries and transactions."""
+"""Sessions, routing, retries and transactions for callers' operations."""
 
 from deckdrum.serving.execution import Execution
 from deckdrum.serving.host import Outcome, SessionHost
--- a/deckdrum/serving/allocation.py
+++ b/deckdrum/serving/allocation.py
@@ -1,4 +1,4 @@
-"""Which nodes hold connections to the servers of one group."""
+"""Allocation of a group's connections to the nodes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -20,29 +20,29 @@
 
 @dataclass(frozen=True, slots=True)
 class AllocationInputs:
-    """What the deal of a group's connections follows from.
+    """Inputs that determine the allocation of a group's connections.
 
     Attributes
     ----------
     max_connections : int
-        Connections that each server accepts, from all nodes.
-    workspaces : int
-        Workspaces to which connections belong; 0 where they are nobody's.
+        Connection limit of each server.
+    workspace_count : int
+        Number of workspaces that own connections; 0 if they have no owner.
     members : mapping of str to Member
         Every registered node.
     servers : frozenset of tuple
-        Ids of the group's servers, and when they started: a new life begins
-        without connections, so they are dealt anew.
+        Ids and start times of the group's servers.  A new incarnation of a
+        server needs a new allocation.
     """
 
     max_connections: int
-    workspaces: int
+    workspace_count: int
     members: Mapping[str, Member]
     servers: frozenset[tuple[str, int]]
 
 
 class ConnectionAllocator:
-    """Deals the connections of one group among the nodes that stay.
+    """Allocates the connections of one group to the nodes.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
     peers : NodePeers
         The other nodes.
     policies : frozenset of Policy
-        Mechanisms in force.
+        Enabled policies.
     """
 
     def __init__(
@@ -60,98 +60,99 @@
         peers: NodePeers,
         policies: frozenset[Policy],
     ) -> None:
-        #: The other nodes that hold connections to the group's servers, the
-        #: nearest first, if not every node does.
+        #: The other holders of connections, nearest first; empty if every node
+        #: is a holder.
         self.others: list[Member] = []
-        #: Whether this node holds connections itself.
+        #: Whether this node is a holder.
         self.is_holder = True
         self._service = service
         self._peers = peers
         self._policies = policies
         self._own = ''
-        self._orders: dict[str, list[Member]] = {}
-        #: What the connections were last dealt for.
-        self._dealt: AllocationInputs | None = None
+        self._ranked_holders: dict[str, list[Member]] = {}
+        #: Inputs of the current allocation.
+        self._allocated_for: AllocationInputs | None = None
 
-    async def deal(
+    async def allocate(
         self,
-        terms: 'AllocationInputs',
+        inputs: 'AllocationInputs',
         own: Member,
         servers: Mapping[str, ServerHandle],
         shares: Mapping[str, GroupShare],
     ) -> None:
-        """Deal the servers' connections among the nodes that stay.
+        """Allocate the servers' connections to the nodes that are not leaving.
 
         Parameters
         ----------
-        terms : Terms
-            What the deal follows from.
+        inputs : AllocationInputs
+            Inputs of the allocation.
         own : Member
             This node.
         servers : mapping of str to ServerHandle
             The group's servers.
         shares : mapping of str to GroupShare
-            Shares of the groups of callers.
+            Shares of the connections by group of callers.
         """
-        self._dealt = terms
-        members = terms.members
-        staying = list_remaining_nodes(own, members)
+        self._allocated_for = inputs
+        members = inputs.members
+        remaining = list_remaining_nodes(own, members)
         holders: tuple[str, ...] = ()
         if Policy.FORWARDING in self._policies:
             holders = select_holders(
                 self._service,
-                staying,
-                terms.max_connections,
-                terms.workspaces,
+                remaining,
+                inputs.max_connections,
+                inputs.workspace_count,
             )
-        self._adopt_holders(own, list(holders), members)
+        self._apply_holders(own, list(holders), members)
         for name, handle in servers.items():
-            deal = allocate_connections(
+            allocation = allocate_connections(
                 name,
-                staying,
-                terms.max_connections,
+                remaining,
+                inputs.max_connections,
                 handle.server.data_centre,
                 holders,
-                terms.workspaces,
+                inputs.workspace_count,
             )
             if Policy.NEAREST_CONNECTIONS not in self._policies:
-                deal = deal.level()
-            lenders = self._list_lenders(deal, own, members)
-            held = deal.holders.get(own.name, 0)
-            await handle.apply_allocation(lenders, held, shares)
+                allocation = allocation.level()
+            lenders = self._list_lenders(allocation, own, members)
+            slots = allocation.holders.get(own.name, 0)
+            await handle.apply_allocation(lenders, slots, shares)
 
-    def is_allocated_for(self, terms: 'AllocationInputs') -> bool:
-        """Tell whether the connections were dealt on just these terms."""
-        return self._dealt == terms
+    def is_allocated_for(self, inputs: 'AllocationInputs') -> bool:
+        """Return whether the current allocation was made for these inputs."""
+        return self._allocated_for == inputs
 
     def find_holders(self, workspace: str) -> list[Member]:
-        """Return the nodes that a workspace's statements are handed to.
+        """Return the holders to which a workspace's statements are forwarded.
 
-        The best comes first; none that is worse than this node itself.
+        They are in order of preference; those ranked below this node are left
+        out.
         """
-        order = self._orders.get(workspace)
-        if order is None:
-            order = self._order_holders(workspace)
-            self._orders[workspace] = order
-        return order
+        ranked = self._ranked_holders.get(workspace)
+        if ranked is None:
+            ranked = self._rank_holders(workspace)
+            self._ranked_holders[workspace] = ranked
+        return ranked
 
     def _list_lenders(
         self,
-        deal: ConnectionAllocation,
+        allocation: ConnectionAllocation,
         own: Member,
         members: Mapping[str, Member],
     ) -> list[Member]:
-        """Return whom this node borrows from, the nearest first."""
+        """Return the nodes that this node borrows from, nearest first."""
         if Policy.BORROWING not in self._policies:
             return []
         lenders = [
             members[holder]
-            for holder in deal.holders
+            for holder in allocation.holders
             if holder != own.name and holder in members
         ]
         return sorted(lenders, key=partial(rank_lender, own))
 
-    def _adopt_holders(
+    def _apply_holders(
         self,
         own: Member,
         holders: list[str],
@@ -162,9 +163,9 @@
         self._peers.health.set_required_peers(self._service, self.others)
         self.is_holder = not holders or own.name in holders
         self._own = own.name
-        self._orders.clear()
+        self._ranked_holders.clear()
 
-    def _order_holders(self, workspace: str) -> list[Member]:
+    def _rank_holders(self, workspace: str) -> list[Member]:
         if not workspace or Policy.WORKSPACE_HOLDERS not in self._policies:
             return [] if self.is_holder else self.others
         others = {holder.name: holder for holder in self.others}
@@ -179,11 +180,11 @@
     own: Member,
     members: Mapping[str, Member],
 ) -> dict[str, str]:
-    """Return the data centres of the nodes that stay, by name."""
-    staying = {
+    """Return the data centres of the nodes that are not leaving, by name."""
+    remaining = {
         name: member.data_centre
         for name, member in members.items()
         if not member.is_leaving and not member.is_gone
     }
-    staying[own.name] = own.data_centre
-    return staying
+    remaining[own.name] = own.data_centre
+    return remaining
--- a/deckdrum/serving/attempts.py
+++ b/deckdrum/serving/attempts.py
@@ -1,4 +1,4 @@
-"""One try to run a statement on one server."""
+"""A single attempt to run a statement on one server."""
 
 import math
 from dataclasses import dataclass
@@ -25,36 +25,36 @@
 from deckdrum.serving.state import PreparedStatement, SessionState
 from deckdrum.sessions import Position
 
-#: Least time for a connection and a statement, in seconds.
+#: Lower bound for the timeout of an attempt.
 _MIN_ATTEMPT_TIMEOUT_S: Final = 0.005
-#: Longest wait until a statement can be sent, in seconds: more than that for
-#: one of few connections (0.25).  What was not sent may be tried another way,
-#: and with a limit of 1 s twice.
+#: Timeout for acquiring and preparing a connection.  It exceeds the wait for
+#: one of few connections (`FEW_WAIT`) and leaves time for a second attempt
+#: within a statement limit of 1 s.
 PREPARE_TIMEOUT_S: Final = 0.4
-#: Longest wait in this node's own queue of it, in seconds: the rest is for a
-#: new connection, so that one that does not come tells of the server.
+#: Timeout for the wait in the local queue.  The rest of `PREPARE_TIMEOUT_S` is
+#: for opening a connection, so that a timeout there indicates a server failure.
 POOL_QUEUE_TIMEOUT_S: Final = 0.3
-#: Times the patience with a server after which an answer counts as lost, if
-#: the server has answered others meanwhile; of a statement that leaves nothing
-#: behind, and of a change, which is in doubt then.
-READ_LOST_FACTOR: Final = 3
+#: An answer counts as lost after this multiple of the server's answer timeout
+#: if the server has answered other requests meanwhile.  A change whose answer
+#: is lost has an unknown outcome, hence the longer wait.
+REPEATABLE_LOST_FACTOR: Final = 3
 CHANGE_LOST_FACTOR: Final = 8
-#: Longest wait for a rollback that frees a connection, in seconds.
+#: Timeout for the rollback before a connection is returned to the pool.
 _ROLLBACK_TIMEOUT_S: Final = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """No answer came.
+    """The result of an attempt that received no answer.
 
     Attributes
     ----------
     was_sent : bool
         Whether the statement may have reached the server.
     is_late : bool
-        Whether the time was up; otherwise the connection broke.
+        Whether the attempt timed out; otherwise the connection failed.
     reason : str
-        For the log.
+        Description of the failure.
     """
 
     was_sent: bool
@@ -62,148 +62,154 @@
     reason: str
 
 
-AttemptEnd = Answer | Rejection | Refusal | NoAnswer
+AttemptOutcome = Answer | Rejection | Refusal | NoAnswer
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """A try to run one statement on one server.
+    """An attempt to run one statement on one server.
+
+    Points in time are those of `curio.clock`.
 
     Attributes
     ----------
     handle : ServerHandle
         The server.
     state : SessionState
-        Whose values the connection must have.
+        The session whose values are set on the connection.
     operation : Operation
-        The statement, as the caller gave it.
+        The statement as the caller sent it.
     request_id : str
-        The caller's id of it.
-    floor : Position or None
-        What the server's log must include.
+        The caller's id of the statement.
+    min_position : Position or None
+        Position that the server's log must include.
     deadline : float
-        When to give up, in kernel seconds.
+        Time at which the attempt is given up.
     begin : Begin or None
-        Open a transaction first and keep the connection.
-    due : float
-        Until when it must have a connection to be in time, in kernel seconds.
+        Opens a transaction before the statement; the connection is kept.
+    start_deadline : float
+        Time by which a connection is needed to meet the route's objective.
     """
 
     handle: ServerHandle
     state: SessionState
     operation: Operation
     request_id: str
-    floor: Position | None
+    min_position: Position | None
     deadline: float
     begin: Begin | None = None
-    due: float = math.inf
-    #: The connection; kept after success if a transaction was opened.
+    start_deadline: float = math.inf
+    #: The leased connection; kept after success if a transaction was opened.
     lease: ServerLease | None = None
     started_at: float = 0
     was_sent: bool = False
-    #: When it was sent, in kernel seconds; infinite if it waits for no answer.
+    #: When the statement was sent; infinite unless an answer is pending.
     sent_at: float = float('inf')
-    #: Whether it was given up because its answer is lost.
-    is_cut: bool = False
+    #: Whether `abandon` has closed the connection.
+    is_abandoned: bool = False
 
-    async def run(self) -> AttemptEnd:
-        """Run the statement; the connection is given back or kept."""
+    async def run(self) -> AttemptOutcome:
+        """Run the statement and release the connection unless it is kept."""
         self.started_at = await curio.clock()
-        limit = max(self.deadline - self.started_at, _MIN_ATTEMPT_TIMEOUT_S)
+        timeout = max(self.deadline - self.started_at, _MIN_ATTEMPT_TIMEOUT_S)
         try:
-            async with curio.timeout_after(limit):
-                end = await self._run(limit)
+            async with curio.timeout_after(timeout):
+                outcome = await self._run(timeout)
         except curio.TaskTimeout:
             if self.handle.answered_at < self.started_at:
                 self.handle.record_timeout(await curio.clock())
-            return await self._lose('no answer in time', is_late=True)
+            return await self._give_up('no answer in time', is_late=True)
         except ConnectionError as error:
-            if self.is_cut:
-                return await self._lose('the answer is lost', is_late=True)
-            self.handle.note_failure(await curio.clock(), error)
-            return await self._lose(repr(error), is_late=False)
+            if self.is_abandoned:
+                return await self._give_up('the answer is lost', is_late=True)
+            self.handle.record_failure(await curio.clock(), error)
+            return await self._give_up(repr(error), is_late=False)
         except curio.CancelledError:
-            await self._lose('cancelled', is_late=True)
+            await self._give_up('cancelled', is_late=True)
             raise
-        if isinstance(end, Refusal | NoAnswer):
-            return end
+        if isinstance(outcome, Refusal | NoAnswer):
+            return outcome
         now = await curio.clock()
-        is_work = isinstance(end, Answer)
+        has_answer = isinstance(outcome, Answer)
         self.handle.record_answer(
-            now, now - self.started_at if is_work else None
+            now, now - self.started_at if has_answer else None
         )
-        if self.begin is None or not isinstance(end, Answer):
-            await self._finish(end.standing)
-        return end
+        if self.begin is None or not isinstance(outcome, Answer):
+            await self._release_lease(outcome.standing)
+        return outcome
 
     def is_overdue(self, now: float) -> bool:
-        """Tell whether nearly every answer would have come by now."""
-        return now > self.sent_at + self.handle.times.patience
+        """Return whether the answer exceeds the server's answer timeout."""
+        return now > self.sent_at + self.handle.response_times.timeout
 
-    def is_lost(self, now: float, patience: float) -> bool:
-        """Tell whether the answer is lost, as far as can be told.
+    def is_lost(self, now: float, timeout_factor: float) -> bool:
+        """Return whether the answer is presumed lost.
 
         Parameters
         ----------
         now : float
-            In kernel seconds.
-        patience : float
-            How overdue it must be, in times of the server's usual.
+            Current time of `curio.clock`.
+        timeout_factor : float
+            Multiple of the server's answer timeout that must have passed.
         """
-        usual = self.handle.times.patience
-        has_answered_since = self.handle.answered_at > self.sent_at + usual
-        if self.is_cut or not has_answered_since:
+        answer_timeout = self.handle.response_times.timeout
+        has_answered_since = (
+            self.handle.answered_at > self.sent_at + answer_timeout
+        )
+        if self.is_abandoned or not has_answered_since:
             return False
-        return now > self.sent_at + usual * patience
+        return now > self.sent_at + answer_timeout * timeout_factor
 
-    async def cut(self) -> None:
-        """Give up the wait for an answer: the connection is closed."""
+    async def abandon(self) -> None:
+        """Stop waiting for an answer by closing the connection."""
         lease = self.lease
-        if lease is not None and not self.is_cut:
-            self.is_cut = True
+        if lease is not None and not self.is_abandoned:
+            self.is_abandoned = True
             await lease.link.close()
 
-    async def _run(self, limit: float) -> AttemptEnd:
+    async def _run(self, timeout: float) -> AttemptOutcome:
         try:
-            async with curio.timeout_after(min(limit, PREPARE_TIMEOUT_S)):
-                refused = await self._prepare_connection(limit)
+            async with curio.timeout_after(min(timeout, PREPARE_TIMEOUT_S)):
+                refusal = await self._prepare_connection(timeout)
         except curio.TaskTimeout:
             self.handle.record_timeout(await curio.clock())
-            return await self._lose('no connection in time', is_late=False)
-        if refused is not None:
-            return refused
+            return await self._give_up('no connection in time', is_late=False)
+        if refusal is not None:
+            return refusal
         lease = self.lease
         if lease is None:
-            raise BrokenInvariantError('a try that is ready has a connection')
+            raise BrokenInvariantError('a prepared attempt has no connection')
         self.was_sent = True
         self.sent_at = await curio.clock()
-        end = await run_on_link(
+        outcome = await run_on_link(
             lease.link,
             self.state,
             self.operation,
             self.request_id,
-            self.floor if self.begin is None else None,
+            self.min_position if self.begin is None else None,
         )
-        if isinstance(end, Answer):
-            self.handle.times.note(await curio.clock() - self.sent_at)
+        if isinstance(outcome, Answer):
+            self.handle.response_times.record(
+                await curio.clock() - self.sent_at
+            )
         self.sent_at = float('inf')
-        return end
+        return outcome
 
     async def _prepare_connection(
-        self, limit: float
+        self, timeout: float
     ) -> Rejection | Refusal | None:
-        """Get a connection that is ready for the statement.
+        """Acquire a connection and prepare it for the statement.
 
         Returns
         -------
         Rejection, Refusal or None
-            Why there is none.
+            Reason for the failure; None on success.
         """
         lease = await self.handle.acquire(
             self.state.database,
-            min(limit, POOL_QUEUE_TIMEOUT_S),
+            min(timeout, POOL_QUEUE_TIMEOUT_S),
             self.state.values,
-            max(0, self.due - self.started_at),
+            max(0, self.start_deadline - self.started_at),
             self.state.workspace,
         )
         if isinstance(lease, Refusal):
@@ -212,17 +218,17 @@
         rejection = await prepare_link(lease.link, self.state, self.operation)
         if rejection is not None or self.begin is None:
             return rejection
-        opened = await lease.link.run(Call(self.begin, floor=self.floor))
-        return opened if isinstance(opened, Rejection) else None
+        begun = await lease.link.run(Call(self.begin, floor=self.min_position))
+        return begun if isinstance(begun, Rejection) else None
 
-    async def _lose(self, reason: str, *, is_late: bool) -> NoAnswer:
+    async def _give_up(self, reason: str, *, is_late: bool) -> NoAnswer:
         lease = self.lease
         self.lease = None
         if lease is not None:
             await self.handle.release(lease, is_clean=False)
         return NoAnswer(self.was_sent, is_late, reason)
 
-    async def _finish(self, standing: Standing) -> None:
+    async def _release_lease(self, standing: Standing) -> None:
         lease = self.lease
         self.lease = None
         if lease is not None:
@@ -234,13 +240,16 @@
     lease: ServerLease,
     standing: Standing,
 ) -> None:
-    """Give a connection back after a whole answer; roll it back if open."""
+    """Release a connection after a complete answer.
+
+    A transaction that is still open is rolled back.
+    """
     is_clean = standing is Standing.IDLE or await _roll_back(lease.link)
     await handle.release(lease, is_clean)
 
 
 async def _roll_back(link: BackendLink) -> bool:
-    """Roll a connection back; tell whether it may be lent again."""
+    """Roll back and return whether the connection can be reused."""
     try:
         async with curio.timeout_after(_ROLLBACK_TIMEOUT_S):
             reply = await link.run(Call(Rollback()))
@@ -254,14 +263,14 @@
     state: SessionState,
     operation: Operation,
     request_id: str,
-    floor: Position | None = None,
+    min_position: Position | None = None,
 ) -> Answer | Rejection:
-    """Run a caller's statement on a connection that is ready for it."""
+    """Run a caller's statement on a prepared connection."""
     if isinstance(operation, Execute):
         statement = state.prepared[operation.name]
         name = link.state.prepared[statement.effect, statement.shape]
         operation = Execute(name, operation.arguments)
-    return await link.run(Call(operation, request_id, floor))
+    return await link.run(Call(operation, request_id, min_position))
 
 
 async def prepare_link(
@@ -269,12 +278,12 @@
     state: SessionState,
     operation: Operation,
 ) -> Rejection | None:
-    """Give a connection the session's values and the statement's name.
+    """Set the session's values and prepare the statement on a connection.
 
     Returns
     -------
     Rejection or None
-        Why the server refused; the statement was not sent then.
+        Rejection by the server; the statement has not been sent then.
     """
     if link.state.values != state.values:
         rejection = await _replace_values(link, state)
@@ -289,8 +298,8 @@
     link: BackendLink,
     state: SessionState,
 ) -> Rejection | None:
-    has_others = any(name not in state.values for name in link.state.values)
-    if has_others and not await link.reset():
+    has_extra = any(name not in state.values for name in link.state.values)
+    if has_extra and not await link.reset():
         return Rejection(RejectionCause.OVERLOADED, 'cannot be reset')
     for name, value in state.values.items():
         if link.state.values.get(name) == value:
@@ -309,8 +318,8 @@
     key = (statement.effect, statement.shape)
     if key in link.state.prepared:
         return None
-    # Names of one connection are never used twice, so that a name cannot
-    # stand for another caller's statement.
+    # A name is never reused on a connection: it must not refer to another
+    # caller's statement.
     name = f'p{len(link.state.prepared) + 1}'
     reply = await link.run(
         Call(Prepare(name, statement.effect, statement.shape)),
--- a/deckdrum/serving/execution.py
+++ b/deckdrum/serving/execution.py
@@ -1,4 +1,4 @@
-"""Running statements with retries, until an answer or the end of the time."""
+"""Running statements on a group's servers, with retries and hedging."""
 
 import math
 from typing import Final
@@ -12,7 +12,7 @@
 from deckdrum.outcomes.errors import BrokenInvariantError
 from deckdrum.serving.attempts import (
     CHANGE_LOST_FACTOR,
-    READ_LOST_FACTOR,
+    REPEATABLE_LOST_FACTOR,
     Attempt,
     NoAnswer,
 )
@@ -32,42 +32,42 @@
 from deckdrum.serving.state import PinnedConnection, SessionState
 from deckdrum.sessions import Position
 
-#: Time kept at the end of a statement's limit for the answer to arrive, in s.
+#: Part of a statement's time limit reserved for returning the answer.
 ANSWER_MARGIN_S: Final = 0.04
-#: Silence of a server after which it is looked at, and a read is tried on
-#: another server, in seconds; several times a usual statement (6 to 40 ms).
+#: A server without an answer for this time is checked, and reads are hedged.
+#: Most statements take 6 to 40 ms.
 UNRESPONSIVE_AFTER_S: Final = 0.25
-#: Part of the time after which a read is tried elsewhere although its server
-#: answers others: its answer may be lost.
+#: Fraction of a read's time limit after which it is hedged even if its server
+#: answers other requests: its own answer may be lost.
 HEDGE_AFTER_FRACTION: Final = 0.4
-#: Longest wait for a primary while another server works on a read, in s.
+#: Timeout for a target while another server already runs the read.
 HEDGE_PRIMARY_TIMEOUT_S: Final = 0.02
-#: Tries of one statement; more means that something is wrong beyond luck.
+#: Attempts per statement.
 MAX_ATTEMPTS: Final = 12
-#: Most servers that work on one read at a time.
+#: Servers that run one read concurrently.
 MAX_CONCURRENT_ATTEMPTS: Final = 3
 
 
 class Execution(StatementRunner):
-    """Runs statements of callers on one database group.
+    """Runs callers' statements on the servers of one database group.
 
     Parameters
     ----------
     runtime : ServiceRuntime
         The group.
     router : Router
-        Chooses its servers.
+        Chooses a server for each attempt.
     """
 
     def __init__(self, runtime: ServiceRuntime, router: Router) -> None:
         self.runtime = runtime
         self._router = router
         self._policies = runtime.policies
-        reserve = RETRY_BUDGET_CAPACITY
+        capacity = RETRY_BUDGET_CAPACITY
         if Policy.RETRY_BUDGET not in self._policies:
-            reserve = math.inf
-        self._budget = RetryBudget(reserve)
-        self._retries = RetryPolicy(runtime, self._budget)
+            capacity = math.inf
+        self._budget = RetryBudget(capacity)
+        self._retry_policy = RetryPolicy(runtime, self._budget)
 
     async def run_single(
         self,
@@ -78,13 +78,17 @@
     ) -> Answer | Refusal:
         """Run a statement outside a transaction."""
         is_read = effect is Effect.READ
-        search = await self._start(request, route, state, None, is_read)
-        ended = await self._run_dispatch(search, route)
-        if isinstance(ended, Refusal):
-            return ended
+        dispatch = await self._create_dispatch(
+            request, route, state, None, is_read
+        )
+        finished = await self._run_dispatch(dispatch, route)
+        if isinstance(finished, Refusal):
+            return finished
         if is_read:
-            return ended[1]
-        return await self.confirm_change(ended[1], ended[0].target.term, state)
+            return finished[1]
+        return await self.confirm_change(
+            finished[1], finished[0].target.term, state
+        )
 
     async def begin(
         self,
@@ -95,18 +99,20 @@
     ) -> StartedTransaction | Refusal:
         """Open a transaction on a server with its first statement."""
         is_read = begin.read_only
-        search = await self._start(request, route, state, begin, is_read)
-        ended = await self._run_dispatch(search, route)
-        if isinstance(ended, Refusal):
-            return ended
-        target = ended[0].target
-        lease = ended[0].attempt.lease
+        dispatch = await self._create_dispatch(
+            request, route, state, begin, is_read
+        )
+        finished = await self._run_dispatch(dispatch, route)
+        if isinstance(finished, Refusal):
+            return finished
+        target = finished[0].target
+        lease = finished[0].attempt.lease
         if lease is None:
-            raise BrokenInvariantError('a transaction without a connection')
+            raise BrokenInvariantError('begun transaction has no connection')
         pin = PinnedConnection(
             target.handle, lease, target.term, target.is_primary
         )
-        return StartedTransaction(ended[1], pin)
+        return StartedTransaction(finished[1], pin)
 
     async def confirm_change(
         self,
@@ -114,17 +120,21 @@
         term: int,
         state: SessionState,
     ) -> Answer | Refusal:
-        """Release the answer of a change only if its term has not ended."""
+        """Return the answer of a change if its term is still valid.
+
+        Otherwise another primary may lead already, and the outcome of the
+        change is unknown.
+        """
         leadership_state = self.runtime.leadership_state
-        is_released = leadership_state.can_acknowledge(
+        is_confirmed = leadership_state.can_acknowledge(
             term, await curio.clock()
         )
-        if not is_released and leadership_state.term == term:
+        if not is_confirmed and leadership_state.term == term:
             await self.runtime.renew_proof()
-            is_released = leadership_state.can_acknowledge(
+            is_confirmed = leadership_state.can_acknowledge(
                 term, await curio.clock()
             )
-        if not is_released:
+        if not is_confirmed:
             self.runtime.counters.count('unvouched_changes')
             self.runtime.journal.record_often(
                 'change.unvouched',
@@ -139,21 +149,21 @@
         state.note_change(answer)
         return answer
 
-    def explain(self, refusal: Refusal, search: Dispatch) -> None:
-        """Log why a request got no success."""
+    def log_refusal(self, refusal: Refusal, dispatch: Dispatch) -> None:
+        """Log the refusal of a request."""
         self.runtime.journal.record_often(
             'request.refused',
-            request=search.request.id,
+            request=dispatch.request.id,
             service=self.runtime.name,
-            workspace=search.state.workspace,
+            workspace=dispatch.state.workspace,
             code=refusal.code,
             fate=refusal.fate,
             term=self.runtime.leadership_state.term,
             primary=self.runtime.leadership_state.primary,
-            reason=search.describe(),
+            reason=dispatch.describe(),
         )
 
-    async def _start(
+    async def _create_dispatch(
         self,
         request: Request,
         route: Route,
@@ -163,8 +173,8 @@
     ) -> Dispatch:
         await self.runtime.set_route_share(route)
         now = await curio.clock()
-        limit = route.statement_timeout - ANSWER_MARGIN_S
-        # Current reads run on the primary alone.
+        timeout = route.statement_timeout - ANSWER_MARGIN_S
+        # Current reads run on the primary only, so they cannot be hedged.
         is_current = route.guarantee is ConsistencyGuarantee.CURRENT
         return Dispatch(
             request,
@@ -173,96 +183,103 @@
             is_read,
             is_read and not is_current,
             now,
-            now + limit,
+            now + timeout,
         )
 
     async def _run_dispatch(
         self,
-        search: Dispatch,
+        dispatch: Dispatch,
         route: Route,
     ) -> tuple[FinishedAttempt, Answer] | Refusal:
-        """Search, and free what tries that come too late have taken."""
+        """Run a dispatch and release the connections of late attempts."""
         try:
-            return await self._dispatch_until_answered(search, route)
+            return await self._dispatch_until_answered(dispatch, route)
         finally:
-            search.is_over = True
-            while not search.ends.empty():
-                await release_late_attempt(await search.ends.get())
+            dispatch.is_finished = True
+            while not dispatch.finished_attempts.empty():
+                await release_late_attempt(
+                    await dispatch.finished_attempts.get()
+                )
 
     async def _dispatch_until_answered(
         self,
-        search: Dispatch,
+        dispatch: Dispatch,
         route: Route,
     ) -> tuple[FinishedAttempt, Answer] | Refusal:
-        """Try servers until one answers with success."""
+        """Start attempts until one succeeds or the statement is refused."""
         while True:
-            refusal = await self._launch(search, route)
-            if refusal is not None and not search.running:
-                self.explain(refusal, search)
+            refusal = await self._start_attempt(dispatch, route)
+            if refusal is not None and not dispatch.running:
+                self.log_refusal(refusal, dispatch)
                 return refusal
-            ended = await self._await_result(search)
-            if ended is None:
+            finished = await self._wait_for_attempt(dispatch)
+            if finished is None:
                 continue
-            if isinstance(ended.end, Answer):
-                await self._note_success(search, ended)
-                return ended, ended.end
-            refusal = await self._retries.weigh(search, ended)
+            if isinstance(finished.outcome, Answer):
+                await self._record_success(dispatch, finished)
+                return finished, finished.outcome
+            refusal = await self._retry_policy.decide(dispatch, finished)
             if refusal is not None:
-                self.explain(refusal, search)
+                self.log_refusal(refusal, dispatch)
                 return refusal
 
-    async def _launch(self, search: Dispatch, route: Route) -> Refusal | None:
-        """Start one more try; return a refusal if there can be none."""
+    async def _start_attempt(
+        self, dispatch: Dispatch, route: Route
+    ) -> Refusal | None:
+        """Start another attempt; return a refusal if none is possible."""
         now = await curio.clock()
-        remaining = search.deadline - now
-        if remaining <= 0 or search.tries >= MAX_ATTEMPTS:
-            return self._retries.give_up(search, now)
-        target = await self._choose(search, route, remaining)
+        remaining = dispatch.deadline - now
+        if remaining <= 0 or dispatch.attempt_count >= MAX_ATTEMPTS:
+            return self._retry_policy.build_refusal(dispatch, now)
+        target = await self._choose_target(dispatch, route, remaining)
         if target is None:
-            return self._retries.give_up(search, now)
-        if search.running and target.handle.id in search.excluded_servers:
-            # The only server that may run it works on it already.
+            return self._retry_policy.build_refusal(dispatch, now)
+        if dispatch.running and target.handle.id in dispatch.excluded_servers:
+            # The only eligible server is already running the statement.
             return None
         if target.is_primary and target.handle.is_dark:
-            # Known at once: another node may reach it, and is asked for that.
+            # Refuse without waiting.  The report makes supervision ask other
+            # nodes whether they reach the primary.
             self.runtime.report_server_failure(target.handle)
-            if search.may_have_run:
-                return self._retries.give_up(search, now)
+            if dispatch.may_have_run:
+                return self._retry_policy.build_refusal(dispatch, now)
             return refuse(Code.NO_PRIMARY, 'it does not answer this node')
         if target.handle.server.is_draining:
-            self._log_draining_server(search, target, now)
-        search.tries += 1
-        # A second try beside this one goes to another server.
-        search.excluded_servers.add(target.handle.id)
+            self._log_draining_server(dispatch, target, now)
+        dispatch.attempt_count += 1
+        # A hedged attempt must go to another server.
+        dispatch.excluded_servers.add(target.handle.id)
         if not target.is_primary:
             await curio.spawn(self._router.refresh_sample, route, daemon=True)
         attempt = Attempt(
             target.handle,
-            search.state,
-            search.request.operation,
-            search.request.id,
-            target.floor,
-            search.deadline,
-            search.begin,
-            search.began + route.objective - target.handle.times.usual,
+            dispatch.state,
+            dispatch.request.operation,
+            dispatch.request.id,
+            target.min_position,
+            dispatch.deadline,
+            dispatch.begin,
+            dispatch.began
+            + route.objective
+            - target.handle.response_times.mean,
         )
-        search.running.append(attempt)
+        dispatch.running.append(attempt)
         await curio.spawn(
-            self._run_attempt, search, attempt, target, daemon=True
+            self._run_attempt, dispatch, attempt, target, daemon=True
         )
         return None
 
     def _log_draining_server(
         self,
-        search: Dispatch,
+        dispatch: Dispatch,
         target: Target,
         now: float,
     ) -> None:
-        """Tell that a statement goes to a server that is to leave."""
+        """Log that a statement is sent to a draining server."""
         self.runtime.counters.count('leaving_servers_used')
         self.runtime.journal.record_often(
             'server.used_while_leaving',
-            request=search.request.id,
+            request=dispatch.request.id,
             service=self.runtime.name,
             server=target.handle.id,
             role='primary' if target.is_primary else 'replica',
@@ -270,69 +287,69 @@
             known_for=round(now - target.handle.departure.since, 3),
         )
 
-    async def _choose(
+    async def _choose_target(
         self,
-        search: Dispatch,
+        dispatch: Dispatch,
         route: Route,
         remaining: float,
     ) -> Target | None:
-        if search.running:
-            # The other server may answer meanwhile.
+        if dispatch.running:
+            # Return soon to waiting for the attempt in progress.
             remaining = min(remaining, HEDGE_PRIMARY_TIMEOUT_S)
-        if search.is_read:
+        if dispatch.is_read:
             return await self._router.choose_reader(
                 route,
-                search.state,
-                search.excluded_servers,
+                dispatch.state,
+                dispatch.excluded_servers,
                 remaining,
             )
         return await self._router.choose_primary(remaining)
 
     async def _run_attempt(
         self,
-        search: Dispatch,
+        dispatch: Dispatch,
         attempt: Attempt,
         target: Target,
     ) -> None:
         if target.is_primary:
             self.runtime.in_flight += 1
         try:
-            end = await attempt.run()
+            outcome = await attempt.run()
         finally:
             if target.is_primary:
                 self.runtime.in_flight -= 1
-        if isinstance(end, NoAnswer):
+        if isinstance(outcome, NoAnswer):
             self.runtime.report_server_failure(attempt.handle)
-        elif not isinstance(end, Refusal):
-            self._note_position(attempt, target, end)
-        ended = FinishedAttempt(attempt, target, end)
-        if search.is_over:
-            await release_late_attempt(ended)
+        elif not isinstance(outcome, Refusal):
+            self._record_position(attempt, target, outcome)
+        finished = FinishedAttempt(attempt, target, outcome)
+        if dispatch.is_finished:
+            await release_late_attempt(finished)
         else:
-            await search.ends.put(ended)
+            await dispatch.finished_attempts.put(finished)
 
-    def _note_position(
+    def _record_position(
         self,
         attempt: Attempt,
         target: Target,
-        end: Answer | Rejection,
+        outcome: Answer | Rejection,
     ) -> None:
-        """Take what an answer tells of a log.
+        """Record the log position that came with an answer.
 
-        Of the primary it is a sample, and so is a refusal for want of room: an
-        overloaded primary gives no other.
+        A rejection by an overloaded primary counts as a sample too: no other
+        sample may be available then.
         """
-        if end.position is None:
+        if outcome.position is None:
             return
         if not target.is_primary:
-            self._note_replica_position(target.handle.id, end.position)
+            self._record_replica_position(target.handle.id, outcome.position)
             return
-        if isinstance(end, Rejection) and not end.tells_position:
+        if isinstance(outcome, Rejection) and not outcome.tells_position:
             return
-        self.runtime.record_position(end.position, attempt.started_at)
+        self.runtime.record_position(outcome.position, attempt.started_at)
 
-    def _note_replica_position(self, name: str, position: Position) -> None:
-        """Take where a replica's log stands as proof of the term."""
+    def _record_replica_position(self, name: str, position: Position) -> None:
+        """Use the position of a replica's log as proof of the term."""
         if Policy.PROOF_FROM_READS not in self._policies:
             return
         history = self.runtime.history
@@ -342,97 +359,103 @@
                 name, position.term, since
             )
 
-    async def _await_result(self, search: Dispatch) -> FinishedAttempt | None:
-        """Return the next end of a try; None to try another server too."""
+    async def _wait_for_attempt(
+        self, dispatch: Dispatch
+    ) -> FinishedAttempt | None:
+        """Return the next finished attempt; None to start another one."""
         began = await curio.clock()
         while True:
             async with curio.ignore_after(
-                search.find_pause(UNRESPONSIVE_AFTER_S)
+                dispatch.compute_wait(UNRESPONSIVE_AFTER_S)
             ):
-                ended: FinishedAttempt = await search.ends.get()
-                search.running.remove(ended.attempt)
-                return ended
+                finished: FinishedAttempt = (
+                    await dispatch.finished_attempts.get()
+                )
+                dispatch.running.remove(finished.attempt)
+                return finished
             now = await curio.clock()
-            await self._abandon_lost(search, now)
-            if self._should_hedge(search, began, now):
+            await self._abandon_lost(dispatch, now)
+            if self._should_hedge(dispatch, began, now):
                 return None
 
-    async def _abandon_lost(self, search: Dispatch, now: float) -> None:
-        """Give up tries whose answers are lost; each frees a connection."""
+    async def _abandon_lost(self, dispatch: Dispatch, now: float) -> None:
+        """Abandon attempts whose answers are presumed lost."""
         if Policy.LOST_ANSWERS not in self._policies:
             return
-        patience = (
-            READ_LOST_FACTOR if search.is_repeatable else CHANGE_LOST_FACTOR
+        timeout_factor = (
+            REPEATABLE_LOST_FACTOR
+            if dispatch.is_repeatable
+            else CHANGE_LOST_FACTOR
         )
-        for attempt in search.running:
-            if search.is_repeatable and attempt.handle.is_dark:
-                await attempt.cut()
-            if not attempt.is_lost(now, patience):
+        for attempt in dispatch.running:
+            if dispatch.is_repeatable and attempt.handle.is_dark:
+                await attempt.abandon()
+            if not attempt.is_lost(now, timeout_factor):
                 continue
-            if search.is_repeatable and not self._budget.take():
+            if dispatch.is_repeatable and not self._budget.take():
                 return
             self.runtime.counters.count('answers_lost')
             self.runtime.journal.record_often(
                 'answer.lost',
-                request=search.request.id,
+                request=dispatch.request.id,
                 service=self.runtime.name,
                 server=attempt.handle.id,
                 seconds=round(now - attempt.sent_at, 3),
-                patience=round(attempt.handle.times.patience, 3),
+                patience=round(attempt.handle.response_times.timeout, 3),
             )
-            await attempt.cut()
+            await attempt.abandon()
 
     def _should_hedge(
         self,
-        search: Dispatch,
+        dispatch: Dispatch,
         began: float,
         now: float,
     ) -> bool:
-        """Look at silent servers; tell whether to hedge a read."""
-        silent = [
+        """Report unresponsive servers; return whether to hedge a read."""
+        unresponsive = [
             handle
             for handle in self.runtime.servers.values()
             if handle.load and handle.answered_at <= began
         ]
         if now - began < UNRESPONSIVE_AFTER_S:
-            silent = []
-        for handle in silent:
+            unresponsive = []
+        for handle in unresponsive:
             self.runtime.report_server_failure(handle)
         if Policy.HEDGED_READS not in self._policies:
             return False
         if (
-            not search.may_hedge
-            or len(search.running) >= MAX_CONCURRENT_ATTEMPTS
+            not dispatch.may_hedge
+            or len(dispatch.running) >= MAX_CONCURRENT_ATTEMPTS
         ):
             return False
-        is_overdue = any(each.is_overdue(now) for each in search.running)
-        half_time = (search.deadline - began) * HEDGE_AFTER_FRACTION
-        if not silent and not is_overdue and now - began < half_time:
+        is_overdue = any(each.is_overdue(now) for each in dispatch.running)
+        hedge_after = (dispatch.deadline - began) * HEDGE_AFTER_FRACTION
+        if not unresponsive and not is_overdue and now - began < hedge_after:
             return False
-        return now < search.deadline and self._budget.take()
+        return now < dispatch.deadline and self._budget.take()
 
-    async def _note_success(
-        self, search: Dispatch, ended: FinishedAttempt
+    async def _record_success(
+        self, dispatch: Dispatch, finished: FinishedAttempt
     ) -> None:
         self._budget.record_success()
-        target = ended.target
+        target = finished.target
         role = 'primary' if target.is_primary else 'replica'
-        kind = 'read' if search.is_read else 'change'
-        self.runtime.counters.count_served(search.state.database, kind, role)
+        kind = 'read' if dispatch.is_read else 'change'
+        self.runtime.counters.count_served(dispatch.state.database, kind, role)
         now = await curio.clock()
         self.runtime.journal.record_often(
             'request.served',
-            request=search.request.id,
-            database=search.state.database,
-            workspace=search.state.workspace,
+            request=dispatch.request.id,
+            database=dispatch.state.database,
+            workspace=dispatch.state.workspace,
             kind=kind,
             server=target.handle.id,
             role=role,
             term=target.term,
-            floor=str(target.floor),
+            floor=str(target.min_position),
             proof_left=round(
                 self.runtime.leadership_state.get_proof_expiry() - now, 3
             ),
-            tries=search.tries,
-            seconds=round(now - search.began, 3),
+            tries=dispatch.attempt_count,
+            seconds=round(now - dispatch.began, 3),
         )
--- a/deckdrum/serving/host.py
+++ b/deckdrum/serving/host.py
@@ -1,4 +1,4 @@
-"""What a caller's session needs of its node."""
+"""Interface between a caller's session and its node."""
 
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
@@ -18,23 +18,23 @@
 
 
 class SessionHost(ABC):
-    """What a session needs of its node.
+    """The node as seen by a caller's session.
 
     Attributes
     ----------
     policies : frozenset of Policy
-        Mechanisms in force.
+        Enabled policies.
     """
 
     policies: frozenset[Policy]
 
     @abstractmethod
     def find_access(self, state: SessionState) -> Access | Refusal:
-        """Return what a session may use now."""
+        """Return the access that the configuration grants to a session."""
 
     @abstractmethod
     async def spend_limit(self, access: Access) -> Refusal | None:
-        """Begin an operation within its workspace's limit, or refuse it."""
+        """Count an operation against its workspace's limit, or refuse it."""
 
     @abstractmethod
     def find_runner(
@@ -42,11 +42,14 @@
         service: str,
         workspace: str,
     ) -> StatementRunner | None:
-        """Return what runs a workspace's statements: this node, or another."""
+        """Return the runner for a workspace's statements, if any.
+
+        It runs them locally or on another node.
+        """
 
     @abstractmethod
     def find_execution(self, service: str) -> Execution | None:
-        """Return what runs statements of a group at this node itself."""
+        """Return the local executor of a group's statements, if any."""
 
     @abstractmethod
     def note_outcome(
@@ -56,4 +59,4 @@
         outcome: Outcome,
         seconds: float,
     ) -> None:
-        """Count an operation, and log it if it was unserved or late."""
+        """Count an operation, and log it if it was refused or late."""
--- a/deckdrum/serving/lags.py
+++ b/deckdrum/serving/lags.py
@@ -1,18 +1,18 @@
-"""Whether a replica has just lacked a position that a read needed."""
+"""Tracking of replicas whose log lacks positions that reads need."""
 
 from typing import Final
 
 from deckdrum.sessions import Position
 from deckdrum.sessions.position import NOWHERE
 
-#: How long a replica that lacked a position is passed over for reads that
-#: need as much, in seconds; doubled while it stays behind.
+#: How long a replica is excluded from reads that need a position it lacked;
+#: doubled while it stays behind.
 MIN_LAG_BACKOFF_S: Final = 0.02
 MAX_LAG_BACKOFF_S: Final = 0.32
 
 
 class ReplicaLag:
-    """What a replica's log lacked lately.
+    """The latest position that a replica's log was found to lack.
 
     Examples
     --------
@@ -25,19 +25,19 @@
     """
 
     def __init__(self) -> None:
-        self._until = float('-inf')
-        self._pause = MIN_LAG_BACKOFF_S
-        self._lacked = NOWHERE
-
-    def is_behind(self, floor: Position, now: float) -> bool:
-        """Tell whether a position up to `floor` was lacked just now."""
-        return now < self._until and floor >= self._lacked
-
-    def record_lag(self, floor: Position, now: float) -> None:
-        """Note that the log lacks a position."""
-        if now < self._until + MAX_LAG_BACKOFF_S:
-            self._pause = min(self._pause * 2, MAX_LAG_BACKOFF_S)
+        self._behind_until = float('-inf')
+        self._backoff = MIN_LAG_BACKOFF_S
+        self._missing = NOWHERE
+
+    def is_behind(self, min_position: Position, now: float) -> bool:
+        """Return whether the log recently lacked this or an older position."""
+        return now < self._behind_until and min_position >= self._missing
+
+    def record_lag(self, min_position: Position, now: float) -> None:
+        """Record that the log lacks a position."""
+        if now < self._behind_until + MAX_LAG_BACKOFF_S:
+            self._backoff = min(self._backoff * 2, MAX_LAG_BACKOFF_S)
         else:
-            self._pause = MIN_LAG_BACKOFF_S
-        self._until = now + self._pause
-        self._lacked = floor
+            self._backoff = MIN_LAG_BACKOFF_S
+        self._behind_until = now + self._backoff
+        self._missing = min_position
--- a/deckdrum/serving/proofs.py
+++ b/deckdrum/serving/proofs.py
@@ -1,4 +1,4 @@
-"""Getting proof that the term of a group's primary has not ended."""
+"""Fetching proof that the term of a group's primary has not ended."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from functools import partial
@@ -20,186 +20,190 @@
 from deckdrum.utils.counters import Counters
 from deckdrum.utils.ranks import weigh
 
-Source = Callable[[], Awaitable[object]]
-#: Nodes of one data centre from which on one of them asks for proof, and
-#: samples the primary, for all.  Messages within a data centre cost next to
-#: nothing; a question takes a place at a server.  Saves four tenths of the
-#: questions of seven nodes in three data centres (one calm day each).
+ProofQuery = Callable[[], Awaitable[object]]
+#: Number of nodes in a data centre from which one of them, the collector,
+#: fetches proof and samples for all.  This reduces the queries to the servers.
 MIN_NODES_FOR_COLLECTOR: Final = 2
-#: Age of proof up to which it is handed to peers without asking again, in s.
+#: Age up to which a proof or sample is passed to peers without a new query.
 MAX_SHARED_AGE_S: Final = 0.3
-#: Silence of one source of proof after which the next is asked, in seconds;
-#: several round trips.
+#: Timeout after which the next source of proof is queried as well.
 SOURCE_TIMEOUT_S: Final = 0.08
-#: Longest wait for proof once every source was asked, in seconds.
+#: Timeout for proof once every source was queried.
 PROOF_TIMEOUT_S: Final = 0.3
-#: Pause between two looks for proof that is on its way, in seconds.
-_POLL: Final = 0.005
+#: Interval between checks whether proof has arrived.
+_POLL_INTERVAL_S: Final = 0.005
 
 
 class ProofSources:
-    """Whom a node asks for proof of one group's term.
+    """Sources of leadership proof for one group.
 
     Parameters
     ----------
-    belief : LeadershipBelief
-        Takes the proof.
-    list_questions : callable
-        Returns a question to each replica, the best first.
+    leadership_state : LeadershipBelief
+        Leadership state that records the proof.
+    list_queries : callable
+        Returns one status query per replica, the most promising first.
     store : ControlStore
-        Asked when the replicas give none.
+        Queried if no replica provides proof.
     peers : NodePeers
-        The other nodes, one of which is asked first where there are many.
+        The other nodes, one of which may be the collector.
     journal : Journal
-        For a store that gives none.
+        Log for failed queries of the store.
     counters : Counters
-        For metrics.
+        Metrics.
     """
 
     def __init__(
         self,
         leadership_state: LeadershipState,
-        list_questions: Callable[[], list[Source]],
+        list_queries: Callable[[], list[ProofQuery]],
         store: ControlStore,
         peers: NodePeers,
         journal: Journal,
         counters: Counters,
     ) -> None:
-        self._belief = leadership_state
-        self._list_questions = list_questions
+        self._leadership_state = leadership_state
+        self._list_queries = list_queries
         self._store = store
         self._peers = peers
         self._journal = journal
         self._counters = counters
-        #: The node of this data centre that is asked for proof, if any.
+        #: The collector of this data centre, if it is another node.
         self.collector: Member | None = None
-        self._renewing: Any = None
+        self._renewal: Any = None
 
     def pick_collector(
         self,
         own: Member,
         members: Mapping[str, Member],
-        staying: Mapping[str, str],
+        remaining: Mapping[str, str],
     ) -> None:
-        """Pick the node of this data centre that is asked first, if any.
+        """Select the collector of this data centre, if it needs one.
 
-        `staying` has the data centres of the nodes that are to stay.
+        `remaining` maps the nodes that are not leaving to their data centres.
         """
-        name = self._belief.service
-        self.collector = _pick_collector(name, own, members, staying)
+        name = self._leadership_state.service
+        self.collector = _pick_collector(name, own, members, remaining)
 
     async def fetch_age(self, term: int) -> float:
-        """Return the age of this node's proof in seconds; -1 without any."""
-        age = self._belief.get_proof_age(await curio.clock())
+        """Return the age of this node's proof in seconds; -1 without proof."""
+        age = self._leadership_state.get_proof_age(await curio.clock())
         if age > MAX_SHARED_AGE_S:
             await self.renew(PROOF_LIFETIME_S - MAX_SHARED_AGE_S)
-            age = self._belief.get_proof_age(await curio.clock())
-        has_proof = self._belief.has_primary and self._belief.term == term
+            age = self._leadership_state.get_proof_age(await curio.clock())
+        has_proof = (
+            self._leadership_state.has_primary
+            and self._leadership_state.term == term
+        )
         return max(0, age) if has_proof and age < PROOF_LIFETIME_S else -1
 
-    async def renew(self, wanted: float = PROOF_RENEWAL_THRESHOLD_S) -> bool:
-        """Get proof that the term has not ended; tell whether there is.
+    async def renew(
+        self, min_validity: float = PROOF_RENEWAL_THRESHOLD_S
+    ) -> bool:
+        """Renew the proof; return whether it is valid.
 
-        Callers that come meanwhile wait for the same proof.
+        Concurrent callers share one renewal.
 
         Parameters
         ----------
-        wanted : float
-            For how long it should be good, in seconds.
+        min_validity : float
+            Remaining validity to achieve, in seconds.
         """
-        if self._renewing is None:
-            self._renewing = await curio.spawn(
+        if self._renewal is None:
+            self._renewal = await curio.spawn(
                 self._renew,
-                wanted,
+                min_validity,
                 daemon=True,
             )
-        task = self._renewing
+        task = self._renewal
         try:
             await task.wait()
         finally:
-            if self._renewing is task and task.terminated:
-                self._renewing = None
-        return self._belief.is_primary_usable(await curio.clock())
+            if self._renewal is task and task.terminated:
+                self._renewal = None
+        return self._leadership_state.is_primary_usable(await curio.clock())
 
     async def renew_if_expiring(self, now: float) -> None:
-        """Begin to get fresh proof if the present one ends soon."""
-        remaining = self._belief.get_proof_expiry() - now
-        if remaining < PROOF_RENEWAL_THRESHOLD_S and self._renewing is None:
-            self._renewing = await curio.spawn(
+        """Start a renewal in the background if the proof expires soon."""
+        remaining = self._leadership_state.get_proof_expiry() - now
+        if remaining < PROOF_RENEWAL_THRESHOLD_S and self._renewal is None:
+            self._renewal = await curio.spawn(
                 self._renew,
                 PROOF_RENEWAL_THRESHOLD_S,
                 daemon=True,
             )
 
-    async def _renew(self, good_for: float) -> None:
-        """Ask replicas, then the store, until one has proof.
+    async def _renew(self, min_validity: float) -> None:
+        """Query the collector, the replicas and the store until proof arrives.
 
-        Where a data centre has many nodes, all but one ask that one first.
-        The next source is asked while the one before is silent.
+        A source that does not answer in time is not cancelled: the next one is
+        queried in addition.
         """
         sources = [
-            *self._list_questions(),
-            self._prove_by_store,
+            *self._list_queries(),
+            self._fetch_proof_from_store,
         ]
         if self.collector is not None:
-            sources.insert(0, self._prove_by_collector)
-        wanted = await curio.clock() + good_for
+            sources.insert(0, self._fetch_proof_from_collector)
+        valid_until = await curio.clock() + min_validity
         try:
             for source in sources:
                 task = await curio.spawn(source, daemon=True)
                 async with curio.ignore_after(SOURCE_TIMEOUT_S):
                     await task.wait()
-                if self._belief.get_proof_expiry() >= wanted:
+                if self._leadership_state.get_proof_expiry() >= valid_until:
                     return
             async with curio.ignore_after(PROOF_TIMEOUT_S):
-                while self._belief.get_proof_expiry() < wanted:
-                    await curio.sleep(_POLL)
+                while self._leadership_state.get_proof_expiry() < valid_until:
+                    await curio.sleep(_POLL_INTERVAL_S)
         finally:
-            self._renewing = None
+            self._renewal = None
 
-    async def _prove_by_collector(self) -> None:
+    async def _fetch_proof_from_collector(self) -> None:
         collector = self.collector
         if collector is None:
             return
-        term = self._belief.term
+        term = self._leadership_state.term
         asked_at = await curio.clock()
         answer = await self._peers.ask(
             collector.endpoint,
-            AskProof(self._belief.service, term),
+            AskProof(self._leadership_state.service, term),
         )
         if isinstance(answer, ProofAnswer) and answer.age >= 0:
-            # The peer's proof is from before the answer, so at most this
-            # much older than the question.
-            self._belief.record_peer_proof(term, asked_at - answer.age)
+            # The peer measured the age after `asked_at`, so its proof is no
+            # older than this.
+            self._leadership_state.record_peer_proof(
+                term, asked_at - answer.age
+            )
             self._counters.count('proofs_by_collector')
 
-    async def _prove_by_store(self) -> None:
+    async def _fetch_proof_from_store(self) -> None:
         asked_at = await curio.clock()
         try:
             entry = await self._store.fetch(
-                Kind.LEADERSHIP, self._belief.service
+                Kind.LEADERSHIP, self._leadership_state.service
             )
         except StoreError as error:
             self._journal.record(
                 'leadership.no_proof',
-                service=self._belief.service,
+                service=self._leadership_state.service,
                 reason=str(error),
             )
             return
         if entry is None:
-            await self._belief.record_store_answer(0, None, asked_at)
+            await self._leadership_state.record_store_answer(0, None, asked_at)
         elif isinstance(entry.record, GroupRecord):
-            await self._belief.record_store_answer(
+            await self._leadership_state.record_store_answer(
                 entry.revision,
                 entry.record,
                 asked_at,
             )
         else:
-            # What lies there may be a claim for all that is known.
+            # The unreadable record may be a claim of a later term.
             self._journal.record(
                 'leadership.no_proof',
-                service=self._belief.service,
-                reason='the record cannot be read',
+                service=self._leadership_state.service,
+                reason='unreadable leadership record in the store',
             )
 
 
@@ -207,19 +211,19 @@
     service: str,
     own: Member,
     members: Mapping[str, Member],
-    staying: Mapping[str, str],
+    remaining: Mapping[str, str],
 ) -> Member | None:
-    """Return the node of this data centre that asks for proof for others.
+    """Return the collector of this data centre.
 
     Returns
     -------
     Member or None
-        None for that node itself, and where there are few nodes.
+        None if it is this node or if there are too few nodes.
     """
-    near = [
-        name for name, centre in staying.items() if centre == own.data_centre
+    local_nodes = [
+        name for name, centre in remaining.items() if centre == own.data_centre
     ]
-    if len(near) < MIN_NODES_FOR_COLLECTOR:
+    if len(local_nodes) < MIN_NODES_FOR_COLLECTOR:
         return None
-    first = min(near, key=partial(weigh, service))
+    first = min(local_nodes, key=partial(weigh, service))
     return None if first == own.name else members.get(first)
--- a/deckdrum/serving/retries.py
+++ b/deckdrum/serving/retries.py
@@ -1,4 +1,4 @@
-"""What follows a failed try: another one, or a refusal for the caller."""
+"""Decisions after failed attempts: retry, or refuse the statement."""
 
 from typing import Final
 
@@ -13,20 +13,20 @@
 from deckdrum.serving.searches import Dispatch, FinishedAttempt
 from deckdrum.serving.service import ServiceRuntime
 
-#: Longest pause after every server has refused, in seconds.
-LONGEST_PAUSE: Final = 0.08
-#: Statements at a moment that may be tried again on account of failures,
-#: refilled by each success; keeps retries a small part of the load.
+#: Upper bound for the backoff between attempts on the primary.
+MAX_RETRY_BACKOFF_S: Final = 0.08
+#: Capacity of the retry budget, and the fraction of a retry that each success
+#: adds to it.
 RETRY_BUDGET_CAPACITY: Final = 20.0
 RETRY_REFILL_FRACTION: Final = 0.1
 
 
 class RetryBudget:
-    """Bounds retries after failures to a part of what succeeds.
+    """Limits retries to a fraction of successful statements.
 
     Examples
     --------
-    >>> budget = RetryBudget(reserve=1, refill=0.5)
+    >>> budget = RetryBudget(capacity=1, refill=0.5)
     >>> budget.take(), budget.take()
     (True, False)
     >>> budget.record_success()
@@ -37,128 +37,135 @@
 
     def __init__(
         self,
-        reserve: float = RETRY_BUDGET_CAPACITY,
+        capacity: float = RETRY_BUDGET_CAPACITY,
         refill: float = RETRY_REFILL_FRACTION,
     ) -> None:
-        self._reserve = reserve
+        self._capacity = capacity
         self._refill = refill
-        self._left = reserve
+        self._tokens = capacity
 
     def record_success(self) -> None:
-        """Earn a part of a retry."""
-        self._left = min(self._reserve, self._left + self._refill)
+        """Add the refill of one success."""
+        self._tokens = min(self._capacity, self._tokens + self._refill)
 
     def take(self) -> bool:
-        """Spend one retry; tell whether there was one."""
-        if self._left < 1:
+        """Spend one retry; return whether one was available."""
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
 class RetryPolicy:
-    """Decides whether a statement of one group is tried again.
+    """Decides whether a failed statement of one group is retried.
 
     Parameters
     ----------
     runtime : ServiceRuntime
         The group.
     budget : RetryBudget
-        Bounds retries of reads that failed on a server.
+        Limits retries of reads that failed on a server.
     """
 
     def __init__(self, runtime: ServiceRuntime, budget: RetryBudget) -> None:
         self._runtime = runtime
         self._budget = budget
 
-    async def weigh(
+    async def decide(
         self,
-        search: Dispatch,
-        ended: FinishedAttempt,
+        dispatch: Dispatch,
+        finished: FinishedAttempt,
     ) -> Refusal | None:
-        """Decide after a failed try: a refusal, or None to go on."""
-        end = ended.end
-        if isinstance(end, Answer):
-            raise BrokenInvariantError('a success is no failed try')
-        search.last = end
-        if isinstance(end, NoAnswer) and end.was_sent:
-            search.may_have_run = True
+        """Return a refusal after a failed attempt, or None to retry."""
+        outcome = finished.outcome
+        if isinstance(outcome, Answer):
+            raise BrokenInvariantError('attempt succeeded: nothing to decide')
+        dispatch.last_failure = outcome
+        if isinstance(outcome, NoAnswer) and outcome.was_sent:
+            dispatch.may_have_run = True
         now = await curio.clock()
-        if isinstance(end, Rejection):
-            return await self._weigh_rejection(search, ended, end, now)
-        if isinstance(end, Refusal):
-            # The queue of this server is full.  Another replica may have room,
-            # or the primary; nobody has if the primary has none.
-            is_last = ended.target.is_primary
-            return self.give_up(search, now) if is_last else None
-        if not end.was_sent or search.is_repeatable:
-            return await self._rest(search, ended.target)
-        code = Code.TIMED_OUT if end.is_late else Code.CONNECTION_LOST
-        return refuse(code, end.reason)
-
-    def give_up(self, search: Dispatch, now: float) -> Refusal:
-        """Return the refusal for a statement that nobody has run by `now`."""
-        last = search.last
-        if search.may_have_run:
-            # Only what leaves nothing behind is tried again after a loss.
+        if isinstance(outcome, Rejection):
+            return await self._decide_after_rejection(
+                dispatch, finished, outcome, now
+            )
+        if isinstance(outcome, Refusal):
+            # The queue for this server is full.  Other replicas are tried, and
+            # the primary last.
+            is_final = finished.target.is_primary
+            return self.build_refusal(dispatch, now) if is_final else None
+        if not outcome.was_sent or dispatch.is_repeatable:
+            return await self._back_off(dispatch, finished.target)
+        code = Code.TIMED_OUT if outcome.is_late else Code.CONNECTION_LOST
+        return refuse(code, outcome.reason)
+
+    def build_refusal(self, dispatch: Dispatch, now: float) -> Refusal:
+        """Return the refusal for a statement without an answer by `now`."""
+        failure = dispatch.last_failure
+        if dispatch.may_have_run:
+            # Only repeatable statements get here: their effects are discarded.
             return refuse(Code.TRANSACTION_LOST, 'no server answered it')
-        if isinstance(last, Refusal):
-            return last
-        if isinstance(last, Rejection):
-            return refuse(Code.PRIMARY_REFUSED, f'{last.cause}: {last.text}')
+        if isinstance(failure, Refusal):
+            return failure
+        if isinstance(failure, Rejection):
+            return refuse(
+                Code.PRIMARY_REFUSED, f'{failure.cause}: {failure.text}'
+            )
         primary = self._runtime.primary
         if primary is None:
             return refuse(Code.NO_PRIMARY, f'service {self._runtime.name}')
         if primary.departure.is_past_cutoff(now):
             return refuse(Code.NO_PRIMARY, 'it has left, and none follows')
         code = Code.QUEUE_TIMEOUT
-        if search.is_read:
+        if dispatch.is_read:
             code = Code.READ_NOT_POSSIBLE
         return refuse(code, 'no server took it in time')
 
-    async def _weigh_rejection(
+    async def _decide_after_rejection(
         self,
-        search: Dispatch,
-        ended: FinishedAttempt,
-        end: Rejection,
+        dispatch: Dispatch,
+        finished: FinishedAttempt,
+        outcome: Rejection,
         now: float,
     ) -> Refusal | None:
-        handle = ended.target.handle
-        if end.cause is RejectionCause.BEHIND and ended.target.floor:
+        handle = finished.target.handle
+        if (
+            outcome.cause is RejectionCause.BEHIND
+            and finished.target.min_position
+        ):
             if Policy.REPLICA_PAUSES in self._runtime.policies:
-                handle.lag.record_lag(ended.target.floor, now)
+                handle.replica_lag.record_lag(finished.target.min_position, now)
             return None
-        if end.cause is RejectionCause.NOT_PRIMARY:
+        if outcome.cause is RejectionCause.NOT_PRIMARY:
             await self._runtime.leadership_state.clear_primary(
-                handle.id, 'it refuses changes'
+                handle.id, 'server reported that it is not primary'
             )
-            return await self._rest(search, ended.target)
-        if end.cause.is_not_run:
-            return await self._rest(search, ended.target)
-        if search.is_read and self._budget.take():
+            return await self._back_off(dispatch, finished.target)
+        if outcome.cause.is_not_run:
+            return await self._back_off(dispatch, finished.target)
+        if dispatch.is_read and self._budget.take():
             return None
-        if search.begin is not None:
-            return refuse(Code.TRANSACTION_LOST, end.text)
+        if dispatch.begin is not None:
+            return refuse(Code.TRANSACTION_LOST, outcome.text)
         code = (
             Code.TIMED_OUT
-            if end.cause is RejectionCause.TIMED_OUT
+            if outcome.cause is RejectionCause.TIMED_OUT
             else Code.STATEMENT_FAILED
         )
-        return refuse(code, end.text)
+        return refuse(code, outcome.text)
 
-    async def _rest(
+    async def _back_off(
         self,
-        search: Dispatch,
+        dispatch: Dispatch,
         target: Target,
     ) -> Refusal | None:
-        """Pause unless another server is left that may run the statement."""
+        """Back off before the primary is tried again; replicas need none."""
         if not target.is_primary:
-            # The next replica, or the primary if there is none.
+            # The router picks another replica or the primary.
             return None
-        search.excluded_servers.clear()
+        dispatch.excluded_servers.clear()
         now = await curio.clock()
-        if now + search.pause >= search.deadline:
-            return self.give_up(search, now)
-        await curio.sleep(search.pause)
-        search.pause = min(search.pause * 2, LONGEST_PAUSE)
+        if now + dispatch.backoff >= dispatch.deadline:
+            return self.build_refusal(dispatch, now)
+        await curio.sleep(dispatch.backoff)
+        dispatch.backoff = min(dispatch.backoff * 2, MAX_RETRY_BACKOFF_S)
         return None
--- a/deckdrum/serving/routing.py
+++ b/deckdrum/serving/routing.py
@@ -1,4 +1,4 @@
-"""Choosing the server for a statement."""
+"""Selection of the server for a statement."""
 
 import math
 from collections.abc import Container
@@ -16,65 +16,60 @@
 from deckdrum.sessions import Position
 from deckdrum.sessions.position import NOWHERE
 
-#: Safety margin under the accepted age, in seconds: time that a read may
-#: wait in the server's queue does not count, the way there does.
+#: Margin below the accepted age for the time until the read reaches the server.
 AGE_MARGIN_S: Final = 0.1
-#: Part of the accepted age after which a new sample of the primary is taken.
+#: Fraction of the accepted age after which the primary is sampled again.
 SAMPLE_AGE_FRACTION: Final = 0.4
-#: Longest wait of a read for a sample of the primary, in seconds.
+#: Timeout of a read waiting for a sample of the primary, in seconds.
 SAMPLE_WAIT: Final = 0.15
-#: What another data centre costs beside a server's time, as a part of the
-#: route's objective: a read waits as long for a near server if that leaves it
-#: well within its time, since the bytes of its answer are paid for.  Saves a
-#: tenth of the bytes between data centres on a calm day (one run each).
+#: Cost of reading from another data centre as a fraction of the route's
+#: objective.  It reduces paid traffic between data centres.
 REMOTE_COST_FRACTION: Final = 0.1
-#: The most that it counts, in seconds: about three times a usual statement, so
-#: that reads with much time do not queue where others have little.
+#: Upper bound for that cost, so that reads with a long objective do not queue
+#: for the local servers ahead of reads with a short one.
 MAX_REMOTE_COST_S: Final = 0.05
-#: What a borrowed connection costs beside, in seconds: the messages of a loan,
-#: there and back, and the work of two nodes.  An estimate, not measured.
+#: Cost of a borrowed connection: a round trip to the lender and its work.
 BORROWING_COST_S: Final = 0.005
-#: What the primary costs beside its time, in seconds; it alone can change
-#: data, so reads leave it alone while replicas have room.
+#: Cost of reading from the primary, which reserves its capacity for changes.
 PRIMARY_COST_S: Final = 0.05
-#: Time of a statement that is expected of a server without samples, in s.
+#: Expected time of a statement on a server without recent samples.
 _DEFAULT_STATEMENT_TIME_S: Final = 0.01
-#: Time in which what was learnt of a server fades by half, in seconds.
+#: Half-life of the mean statement time of a server that is not in use.
 _STATEMENT_TIME_HALF_LIFE_S: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where a statement goes.
+    """The server chosen for a statement.
 
-    `floor` is what the server's log must include; None at the primary,
-    whose log has everything.
+    `min_position` is the position that its log must include; None for the
+    primary.
     """
 
     handle: ServerHandle
-    floor: Position | None
+    min_position: Position | None
     is_primary: bool
     term: int
 
 
 class Router:
-    """Chooses servers of one group.
+    """Chooses servers of one group for statements.
 
     Parameters
     ----------
     runtime : ServiceRuntime
         The group.
     data_centre : str
-        Where this node runs.
+        Data centre of this node.
     """
 
     def __init__(self, runtime: ServiceRuntime, data_centre: str) -> None:
         self._runtime = runtime
         self._data_centre = data_centre
 
-    async def choose_primary(self, limit: float) -> Target | None:
-        """Return the primary with valid proof, or None after `limit` s."""
-        handle = await self._runtime.ensure_primary(limit)
+    async def choose_primary(self, timeout: float) -> Target | None:
+        """Return the primary once its proof is valid; None on timeout."""
+        handle = await self._runtime.ensure_primary(timeout)
         if handle is None:
             return None
         return Target(handle, None, True, self._runtime.leadership_state.term)
@@ -84,96 +79,103 @@
         route: Route,
         state: SessionState,
         excluded_servers: Container[str],
-        limit: float,
+        timeout: float,
     ) -> Target | None:
-        """Return a server that may run a read, or None after `limit` s.
+        """Return a server that can run a read; None on timeout.
 
         Parameters
         ----------
         route : Route
-            Whose guarantee binds.
+            Route with the consistency guarantee of the read.
         state : SessionState
-            The session, for its own changes.
-        passed_over : container of str
-            Servers that were tried in vain.
-        limit : float
-            Longest wait for the primary in seconds.
+            Session whose own changes may have to be visible.
+        excluded_servers : container of str
+            Servers that are running the read or have failed to.
+        timeout : float
+            Longest wait for the primary, in seconds.
         """
         if route.guarantee is ConsistencyGuarantee.CURRENT:
-            return await self.choose_primary(limit)
-        floor = await self._find_floor(route, state)
-        if floor is None and Policy.SAMPLE_WAIT in self._runtime.policies:
-            # A sample costs the primary less than the read would.
-            async with curio.ignore_after(min(limit, SAMPLE_WAIT)):
+            return await self.choose_primary(timeout)
+        min_position = await self._find_min_position(route, state)
+        if (
+            min_position is None
+            and Policy.SAMPLE_WAIT in self._runtime.policies
+        ):
+            # Sampling loads the primary less than running the read there.
+            async with curio.ignore_after(min(timeout, SAMPLE_WAIT)):
                 await self._runtime.samples.take()
-            floor = await self._find_floor(route, state)
-        if floor is not None:
+            min_position = await self._find_min_position(route, state)
+        if min_position is not None:
             replica = await self._pick_replica(
-                floor,
+                min_position,
                 excluded_servers,
                 route.objective,
                 state.workspace,
             )
             if replica is not None:
-                return Target(replica, floor, False, floor.term)
-        return await self.choose_primary(limit)
+                return Target(replica, min_position, False, min_position.term)
+        return await self.choose_primary(timeout)
 
     async def refresh_sample(self, route: Route) -> None:
-        """Sample the primary if bounded reads will need it soon."""
-        wanted = route.max_age * SAMPLE_AGE_FRACTION
-        if await self._runtime.find_floor(wanted) is None:
+        """Sample the primary if the latest sample is about to be too old."""
+        max_age = route.max_age * SAMPLE_AGE_FRACTION
+        if await self._runtime.find_min_position(max_age) is None:
             await self._runtime.samples.take()
 
-    async def _find_floor(
+    async def _find_min_position(
         self,
         route: Route,
         state: SessionState,
     ) -> Position | None:
-        floor = await self._runtime.find_floor(route.max_age - AGE_MARGIN_S)
-        if floor is None:
+        min_position = await self._runtime.find_min_position(
+            route.max_age - AGE_MARGIN_S
+        )
+        if min_position is None:
             return None
         if route.guarantee is ConsistencyGuarantee.READ_YOUR_WRITES:
-            return max(floor, state.floor)
-        return max(floor, NOWHERE)
+            return max(min_position, state.floor)
+        return max(min_position, NOWHERE)
 
     async def _pick_replica(
         self,
-        floor: Position,
+        min_position: Position,
         excluded_servers: Container[str],
         objective: float,
         workspace: str,
     ) -> ServerHandle | None:
         now = await curio.clock()
-        distance = min(REMOTE_COST_FRACTION * objective, MAX_REMOTE_COST_S)
+        remote_cost = min(REMOTE_COST_FRACTION * objective, MAX_REMOTE_COST_S)
         if Policy.NEAR_READS not in self._runtime.policies:
-            distance = 0
-        fitting = [
+            remote_cost = 0
+        candidates = [
             handle
             for handle in self._runtime.replicas
             if handle.id not in excluded_servers
             and not handle.server.is_draining
-            and not handle.is_avoided(now)
-            and not handle.lag.is_behind(floor, now)
+            and not handle.is_backing_off(now)
+            and not handle.replica_lag.is_behind(min_position, now)
         ]
         primary = self._runtime.primary
-        if not fitting:
+        if not candidates:
             return None
         best = min(
-            fitting,
-            key=lambda handle: self._rank(handle, now, distance, workspace),
+            candidates,
+            key=lambda handle: self._rank(handle, now, remote_cost, workspace),
         )
         if primary is None or primary.server.is_draining:
             return best
-        # A busy replica leaves the read to an idle primary.
-        # Distance does not count here: bytes are no reason to load a primary.
-        cost = self._rank(primary, now, 0, workspace) + PRIMARY_COST_S
-        return None if cost < self._rank(best, now, 0, workspace) else best
+        # An idle primary is preferred to a busy replica.  The cost of another
+        # data centre is left out: it does not justify loading the primary.
+        primary_cost = self._rank(primary, now, 0, workspace) + PRIMARY_COST_S
+        return (
+            None if primary_cost < self._rank(best, now, 0, workspace) else best
+        )
 
     def _is_preferred(self, handle: ServerHandle, workspace: str) -> bool:
-        """Tell whether a server is the first choice while all are idle.
+        """Return whether a server is the first choice while all are idle.
 
-        A workspace keeps to one replica, so that its connections there stay in
-        use; reads of nobody's go to the nearest.
+        Reads of a workspace prefer one replica, so that its connections there
+        are reused; other reads prefer the local data centre.
         """
         policies = self._runtime.policies
         if not workspace or Policy.WORKSPACE_REPLICAS not in policies:
@@ -185,27 +187,27 @@
         self,
         handle: ServerHandle,
         now: float,
-        distance: float,
+        remote_cost: float,
         workspace: str,
     ) -> float:
         """Return the expected cost of a read in seconds.
 
-        `distance` is what another data centre costs.  Without an open
-        connection of the workspace it costs the time to open one.
+        `remote_cost` is added for a server that is not preferred, and the time
+        to open a connection if the workspace has no idle one.
         """
-        idle = max(0, now - handle.answered_at)
-        fade = math.exp2(-idle / _STATEMENT_TIME_HALF_LIFE_S)
-        usual = max(_DEFAULT_STATEMENT_TIME_S, handle.usual_time * fade)
-        way = 0 if self._is_preferred(handle, workspace) else distance
-        hop = 0 if handle.is_holder else BORROWING_COST_S
-        opening = _find_opening(handle, workspace)
-        return (handle.load + 1) * usual + way + hop + opening
+        idle_time = max(0, now - handle.answered_at)
+        decay = math.exp2(-idle_time / _STATEMENT_TIME_HALF_LIFE_S)
+        expected = max(_DEFAULT_STATEMENT_TIME_S, handle.mean_time * decay)
+        remote = 0 if self._is_preferred(handle, workspace) else remote_cost
+        borrowing = 0 if handle.is_holder else BORROWING_COST_S
+        connecting = _estimate_connect_time(handle, workspace)
+        return (handle.load + 1) * expected + remote + borrowing + connecting
 
 
-def _find_opening(handle: ServerHandle, workspace: str) -> float:
-    """Return how long a connection of a workspace takes to open, in seconds.
+def _estimate_connect_time(handle: ServerHandle, workspace: str) -> float:
+    """Return the time to open a connection for a workspace, in seconds.
 
-    That is nothing if one is open, and where there are no workspaces.
+    It is 0 if an idle connection exists or connections belong to no workspace.
     """
     if not workspace or handle.pool.has_idle(workspace):
         return 0
--- a/deckdrum/serving/runners.py
+++ b/deckdrum/serving/runners.py
@@ -1,4 +1,4 @@
-"""What runs the statements of a group, here or at another node."""
+"""Interface for running statements locally or on another node."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -15,9 +15,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StartedTransaction:
-    """A transaction that has begun with its first statement.
+    """An open transaction and the answer to its first statement.
 
-    It runs on a connection of this node, or at another node.
+    It runs on a local connection (`pin`) or on another node (`forwarded`).
     """
 
     answer: Answer
@@ -26,7 +26,7 @@
 
 
 class StatementRunner(ABC):
-    """Runs statements of callers on one database group."""
+    """Runs callers' statements on one database group."""
 
     @abstractmethod
     async def run_single(
--- a/deckdrum/serving/samples.py
+++ b/deckdrum/serving/samples.py
@@ -1,4 +1,4 @@
-"""Samples of where a primary's log stands, taken once for many callers."""
+"""Sampling the position of a primary's log."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -14,31 +14,30 @@
 from deckdrum.utils.counters import Counters
 from deckdrum.utils.tasks import SharedCall
 
-#: Longest wait for a peer's sample of the primary, in seconds.
+#: Timeout for a sample of the primary.
 SAMPLE_TIMEOUT_S: Final = 0.25
 
 
 class PrimarySampler:
-    """Samples the primary of one group.
+    """Samples the log position of a group's primary.
 
-    Callers that come meanwhile wait for the same sample.  Where a data centre
-    has many nodes, one of them samples for all: each question takes a place at
-    a server that may be loaded already.
+    Concurrent callers share one sample.  In a data centre with several nodes
+    the collector samples for all of them, to limit the load of the primary.
 
     Parameters
     ----------
-    belief : LeadershipBelief
-        Of the group.
+    leadership_state : LeadershipBelief
+        Leadership state of the group.
     history : History
-        Takes the samples.
+        Records the samples.
     peers : NodePeers
         The other nodes.
     counters : Counters
-        For metrics.
+        Metrics.
     pick_collector : callable
-        Returns the node that samples for this one, if any.
-    ask_primary : callable
-        Asks the primary itself; tells whether it said where its log stands.
+        Returns the collector, if it is another node.
+    sample_primary : callable
+        Samples the primary directly; returns whether that succeeded.
     """
 
     def __init__(
@@ -48,25 +47,25 @@
         peers: NodePeers,
         counters: Counters,
         pick_collector: Callable[[], Member | None],
-        ask_primary: Callable[[], Awaitable[bool]],
+        sample_primary: Callable[[], Awaitable[bool]],
     ) -> None:
-        self._belief = leadership_state
+        self._leadership_state = leadership_state
         self._history = history
         self._peers = peers
         self._counters = counters
         self._pick_collector = pick_collector
-        self._sampling = SharedCall(self._sample)
-        self._asking_primary = SharedCall(ask_primary)
+        self._shared_sample = SharedCall(self._sample)
+        self._shared_primary_query = SharedCall(sample_primary)
 
     async def take(self) -> bool:
-        """Learn where the primary's log stands; tell whether that is known."""
-        return bool(await self._sampling.get())
+        """Take a sample; return whether that succeeded."""
+        return bool(await self._shared_sample.get())
 
     async def tell(self) -> SampleAnswer:
-        """Return the latest sample for a peer, a new one if it is old."""
+        """Return a recent sample for a peer; take a new one if necessary."""
         asked_at = await curio.clock()
         if asked_at - self._history.latest[1] > MAX_SHARED_AGE_S:
-            await self._asking_primary.get()
+            await self._shared_primary_query.get()
         offset, sampled_at = self._history.latest
         age = await curio.clock() - sampled_at
         is_known = age < PROOF_LIFETIME_S
@@ -74,23 +73,24 @@
 
     async def _sample(self) -> bool:
         collector = self._pick_collector()
-        if collector is not None and await self._sample_by(collector):
+        if collector is not None and await self._fetch_sample(collector):
             return True
-        return bool(await self._asking_primary.get())
+        return bool(await self._shared_primary_query.get())
 
-    async def _sample_by(self, collector: Member) -> bool:
-        """Take over a peer's sample; tell whether it has one."""
+    async def _fetch_sample(self, collector: Member) -> bool:
+        """Fetch a sample from the collector; return whether it had one."""
         asked_at = await curio.clock()
         answer = await self._peers.ask(
             collector.endpoint,
-            AskSample(self._belief.service),
+            AskSample(self._leadership_state.service),
             SAMPLE_TIMEOUT_S,
         )
         if not isinstance(answer, SampleAnswer) or answer.age < 0:
             return False
-        if answer.term != self._belief.term:
+        if answer.term != self._leadership_state.term:
             return False
-        # The peer's sample is at most this much older than the question.
+        # The peer measured the age after `asked_at`, so its sample is no
+        # older than this.
         self._history.note(answer.term, answer.offset, asked_at - answer.age)
         self._counters.count('samples_by_collector')
         return True
--- a/deckdrum/serving/searches.py
+++ b/deckdrum/serving/searches.py
@@ -1,4 +1,4 @@
-"""One statement's way from server to server, and the ends of its tries."""
+"""State of a statement that is tried on one or more servers."""
 
 from dataclasses import dataclass, field
 from typing import Any, Final
@@ -9,51 +9,53 @@
 from deckdrum.outcomes import Refusal
 from deckdrum.serving.attempts import (
     Attempt,
-    AttemptEnd,
+    AttemptOutcome,
     NoAnswer,
     release_link,
 )
 from deckdrum.serving.routing import Target
 from deckdrum.serving.state import SessionState
 
-#: First pause after every server has refused, in seconds; doubled with each.
-FIRST_PAUSE: Final = 0.01
+#: Backoff after the primary has failed; doubled each time.
+MIN_RETRY_BACKOFF_S: Final = 0.01
 
 
 @dataclass(slots=True)
 class Dispatch:
-    """One statement's way from server to server.
+    """A statement and its attempts on the servers of a group.
+
+    Points in time are those of `curio.clock`.
 
     Attributes
     ----------
     request : Request
-        The statement, as the caller sent it.
+        The statement as the caller sent it.
     state : SessionState
         The caller's session.
     begin : Begin or None
         Opens a transaction before the statement.
     is_read : bool
         Whether the statement changes nothing.
-    may_spread : bool
-        Whether several servers may work on it at a time.
+    may_hedge : bool
+        Whether several servers may run the statement concurrently.
     began, deadline : float
-        When the search began and must end, in kernel seconds.
-    tries : int
-        Servers that were asked to run the statement.
-    pause : float
-        Next pause before the primary is tried again, in seconds.
-    passed_over : set of str
+        Start of the dispatch and time by which it must end.
+    attempt_count : int
+        Number of attempts that have been started.
+    backoff : float
+        Next delay before the primary is tried again, in seconds.
+    excluded_servers : set of str
         Servers that are not tried next.
-    last : Rejection, Lost, Refusal or None
-        The latest end of a try without success.
-    ends : curio.Queue of EndedTry
-        Ends of tries, in the order in which they came.
+    last_failure : Rejection, NoAnswer, Refusal or None
+        Result of the latest attempt that failed.
+    finished_attempts : curio.Queue of FinishedAttempt
+        Finished attempts in order of completion.
     running : list of Attempt
-        Tries that have not ended.
-    is_over : bool
-        Whether nobody waits for further ends.
+        Attempts in progress.
+    is_finished : bool
+        Whether results that arrive from now on are discarded.
     may_have_run : bool
-        Whether a server may have run it, though nothing of that is kept.
+        Whether a server may have run the statement without lasting effect.
     """
 
     request: Request
@@ -63,48 +65,52 @@
     may_hedge: bool
     began: float
     deadline: float
-    tries: int = 0
-    pause: float = FIRST_PAUSE
+    attempt_count: int = 0
+    backoff: float = MIN_RETRY_BACKOFF_S
     excluded_servers: set[str] = field(default_factory=set)
-    last: Rejection | NoAnswer | Refusal | None = None
-    ends: Any = field(default_factory=curio.Queue)
+    last_failure: Rejection | NoAnswer | Refusal | None = None
+    finished_attempts: Any = field(default_factory=curio.Queue)
     running: list[Attempt] = field(default_factory=list)
-    is_over: bool = False
+    is_finished: bool = False
     may_have_run: bool = False
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a try whose answer is lost leaves nothing behind.
+        """Whether the statement can be repeated after a lost answer.
 
-        A read changes nothing, and a transaction that has just begun is
-        rolled back with its connection.
+        A read changes nothing, and the first statement of a transaction is
+        rolled back when its connection is closed.
         """
         return self.is_read or self.begin is not None
 
-    def find_pause(self, longest: float) -> float:
-        """Return how long to wait before the tries are looked at again, in s.
+    def compute_wait(self, longest: float) -> float:
+        """Return the time until the running attempts are checked, in seconds.
 
-        That is as long as nearly every answer takes, and at most `longest`.
+        This is the shortest answer timeout of their servers, at most `longest`.
         """
-        patience = (each.handle.times.patience for each in self.running)
-        return min(longest, *patience) if self.running else longest
+        timeouts = (
+            attempt.handle.response_times.timeout for attempt in self.running
+        )
+        return min(longest, *timeouts) if self.running else longest
 
     def describe(self) -> str:
-        """Return what was done, for the log."""
-        return f'{self.tries} tries, last: {self.last}'
+        """Return a summary for the log."""
+        return f'{self.attempt_count} tries, last: {self.last_failure}'
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedAttempt:
-    """A try and its end."""
+    """An attempt with its target and result."""
 
     attempt: Attempt
     target: Target
-    end: AttemptEnd
+    outcome: AttemptOutcome
 
 
-async def release_late_attempt(ended: FinishedAttempt) -> None:
-    """Give back the connection of a try whose answer nobody waits for."""
-    lease = ended.attempt.lease
-    if lease is not None and isinstance(ended.end, Answer):
-        await release_link(ended.target.handle, lease, ended.end.standing)
+async def release_late_attempt(finished: FinishedAttempt) -> None:
+    """Release the connection of an attempt that finished too late."""
+    lease = finished.attempt.lease
+    if lease is not None and isinstance(finished.outcome, Answer):
+        await release_link(
+            finished.target.handle, lease, finished.outcome.standing
+        )
--- a/deckdrum/serving/servers.py
+++ b/deckdrum/serving/servers.py
@@ -1,4 +1,4 @@
-"""One backend server as a node uses it: its pool and how it has behaved."""
+"""Connections to a backend server and its observed health."""
 
 import math
 from collections.abc import Mapping
@@ -33,58 +33,60 @@
 from deckdrum.sessions import Position
 from deckdrum.utils.tasks import SharedCall
 
-#: How long a server that failed is passed over, in seconds; doubled with
-#: each failure in a row.
+#: How long a server is avoided after a failure; doubled with each consecutive
+#: failure.
 MIN_BACKOFF_S: Final = 0.2
 MAX_BACKOFF_S: Final = 1.6
-#: Pause after the server refused a connection for want of room, in seconds.
-#: Connections of a node that was killed linger for up to 3 s.
+#: How long a server is avoided after it has reached its connection limit.
+#: Connections of a killed node remain open for up to 3 s.
 CONNECTION_LIMIT_BACKOFF_S: Final = 0.3
-#: Longest wait for the answer to a question of the product's own, in seconds;
-#: far above the round trip (5 ms) and a full queue of short statements.
+#: Timeout of status queries and other commands of the proxy itself.
 COMMAND_TIMEOUT_S: Final = 0.4
-#: Age of a silence, or of an answer, up to which it is told to peers without
-#: asking again, in seconds.  A node that asks them has waited longer for an
-#: answer of its own.
+#: Age up to which a timeout, or an answer, is reported to peers without another
+#: query.
 RECENT_TIMEOUT_WINDOW_S: Final = 0.3
 RECENT_ANSWER_WINDOW_S: Final = 0.3
-#: Longest wait of such a question for a pooled connection, in seconds; then
-#: one beyond the pool is opened, since all may rest in transactions.
+#: Timeout of a command for a pooled connection.  After it a connection outside
+#: the pool is opened, since idle transactions may hold all pooled ones.
 COMMAND_POOL_TIMEOUT_S: Final = 0.1
-#: Longest wait of one try for one of few connections, in seconds.  A resting
-#: transaction may hold them for seconds: then other lenders, or another server,
-#: are tried instead.
+#: Timeout for a connection if there are few, in seconds.  Idle transactions may
+#: hold them for longer: other lenders or servers are tried instead.
 FEW_WAIT: Final = 0.25
-#: Group under which the product's own questions wait for a connection.
+#: Queue group of the proxy's own commands.
 _COMMAND_GROUP: Final = ''
-_LEARN_RATE: Final = 0.2
+_SMOOTHING_FACTOR: Final = 0.2
 
 ServerLease = Lease[Backend, BackendLink]
 
 
 @dataclass(frozen=True, slots=True)
 class ReportedPosition:
-    """Where a server's log stood after it was asked, in kernel seconds."""
+    """Log position that a server reported at or after `asked_at`.
+
+    Points in time are those of `curio.clock`.
+    """
 
     position: Position
     asked_at: float
 
 
 class ServerHandle:
-    """A node's end of one backend server.
+    """Access of this node to one backend server.
+
+    Points in time are those of `curio.clock`.
 
     Parameters
     ----------
     own : OwnBackend
-        Where this node connects by itself.
+        Opens connections of this node.
     loans : LoanBackend
-        Where it borrows.
+        Borrows connections from other nodes.
     slots : int
-        Most connections of its own.
+        Maximum number of own connections.
     shares : mapping of str to GroupShare
-        Shares of the groups of callers.
+        Shares of the connections by group of callers.
     policies : frozenset of Policy
-        Mechanisms in force.
+        Enabled policies.
     """
 
     def __init__(
@@ -97,42 +99,43 @@
     ) -> None:
         self._policies = policies
         self.own = own
-        #: Connections of this node's own.
+        #: Own connections.
         self.pool: Pool[Backend, BackendLink] = Pool(own, slots, shares)
-        #: Connections that it borrows.
+        #: Borrowed connections.
         self.loans: Pool[Backend, BackendLink] = Pool(
             loans,
             MAX_BORROWED_CONNECTIONS,
             shares,
         )
-        #: Whether it has connections of its own; otherwise it only borrows.
+        #: Whether this node may hold connections; otherwise it only borrows.
         self.is_holder = True
-        self._lending = loans
-        self._asking_status = SharedCall(self.query_status)
-        #: Why it last left a question without an answer, or refused it.
+        self._loan_backend = loans
+        self._status_query = SharedCall(self.query_status)
+        #: Reason why the latest failed command failed.
         self.fault = ''
-        #: What it last said of itself, unless the latest question failed.
+        #: Status from the latest command; None if that command failed.
         self.status: ServerStatus | None = None
-        #: Its planned end, if there is one.
+        #: Planned shutdown of the server, if any.
         self.departure = DrainStatus()
-        #: When the server last answered anything, in kernel seconds.
+        #: When the server last answered anything.
         self.answered_at = float('-inf')
-        #: When a question was last left without an answer.
+        #: When a request to the server last timed out.
         self.timed_out_at = float('-inf')
-        #: Whether it neither answers this node nor takes connections of it.
+        #: Whether the server neither answers this node nor accepts connections
+        #: from it.
         self.is_dark = False
-        #: Whether its address last refused or reset a connection.
+        #: Whether the latest failure was a refused or reset connection.
         self.is_refusing = False
-        #: Where its log stood when it last refused a question.
-        self.told: ReportedPosition | None = None
-        #: Usual time of a statement, in seconds.
-        self.usual_time: float = 0
-        self._avoided_until = float('-inf')
+        #: Log position reported with the latest rejected command.
+        self.reported_position: ReportedPosition | None = None
+        #: Smoothed time of a statement, with the wait for a connection, in s.
+        self.mean_time: float = 0
+        self._backoff_until = float('-inf')
         self._backoff = MIN_BACKOFF_S
-        #: What its log lacked lately.
-        self.lag = ReplicaLag()
-        #: How long it takes to answer what was sent.
-        self.times = ResponseTimes()
+        #: Positions that its log was found to lack.
+        self.replica_lag = ReplicaLag()
+        #: Response times from sending a statement to its answer.
+        self.response_times = ResponseTimes()
 
     @property
     def id(self) -> str:
@@ -141,19 +144,19 @@
 
     @property
     def server(self) -> BackendServer:
-        """The server's entry in the directory."""
+        """Entry of the server in the directory."""
         return self.own.server
 
     @property
     def load(self) -> int:
-        """Requests of this node that use the server or wait for it."""
+        """Number of local requests that hold or wait for a connection."""
         queues = (self.pool.queue, self.loans.queue)
         return sum(queue.held + queue.waiting for queue in queues)
 
     def update(self, server: BackendServer, departure: DrainStatus) -> None:
-        """Take over a new entry of the same server."""
+        """Apply a new entry of the same server."""
         self.own.server = server
-        self._lending.server = server
+        self._loan_backend.server = server
         self.departure = departure
 
     async def apply_allocation(
@@ -162,8 +165,8 @@
         slots: int,
         shares: Mapping[str, GroupShare],
     ) -> None:
-        """Hold up to `slots` connections, or none, and borrow the others."""
-        self._lending.lenders = lenders
+        """Hold up to `slots` own connections and borrow further ones."""
+        self._loan_backend.lenders = lenders
         self.is_holder = slots > 0
         await self.pool.queue.resize(max(1, slots), shares)
         await self.loans.queue.resize(MAX_BORROWED_CONNECTIONS, shares)
@@ -173,67 +176,68 @@
             await self.pool.close_idle()
 
     async def apply_shares(self, shares: Mapping[str, GroupShare]) -> None:
-        """Take over the shares of the groups of callers."""
+        """Apply new shares of the groups of callers."""
         for pool in (self.pool, self.loans):
             await pool.queue.resize(pool.queue.slots, shares)
 
-    def is_avoided(self, now: float) -> bool:
-        """Tell whether requests should go elsewhere if they can."""
-        return now < self._avoided_until
+    def is_backing_off(self, now: float) -> bool:
+        """Return whether requests should prefer other servers."""
+        return now < self._backoff_until
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether a question was left unanswered a moment ago."""
+        """Return whether a recent request timed out without a later answer."""
         is_fresh = now - self.timed_out_at < RECENT_TIMEOUT_WINDOW_S
         return is_fresh and self.answered_at < self.timed_out_at
 
     def has_answered(self, since: float) -> bool:
-        """Tell whether the server answered anything after `since`.
+        """Return whether the server has answered anything since `since`.
 
-        A refusal for want of room is an answer: the server is loaded, and
-        not lost.
+        A connection refused because of the connection limit counts as an
+        answer: the server is overloaded, not down.
         """
         return self.answered_at >= since
 
     def record_answer(self, now: float, seconds: float | None = None) -> None:
-        """Note that the server answered, after `seconds` if it was work."""
+        """Record an answer, and the duration of a statement in `seconds`."""
         self.answered_at = now
         self.is_dark = False
         self.is_refusing = False
         self._backoff = MIN_BACKOFF_S
-        self._avoided_until = float('-inf')
+        self._backoff_until = float('-inf')
         if seconds is not None:
-            self.usual_time += (seconds - self.usual_time) * _LEARN_RATE
+            self.mean_time += (seconds - self.mean_time) * _SMOOTHING_FACTOR
 
-    def note_failure(self, now: float, error: BaseException) -> None:
-        """Note that a connection broke or could not be had."""
+    def record_failure(self, now: float, error: BaseException) -> None:
+        """Record that a connection failed or could not be opened."""
         if isinstance(error, ConnectionLimitError):
             if not isinstance(error, NoFreeConnectionError):
                 self.answered_at = now
-            self._avoided_until = now + CONNECTION_LIMIT_BACKOFF_S
+            self._backoff_until = now + CONNECTION_LIMIT_BACKOFF_S
             return
         self.is_refusing = isinstance(
             error,
             ConnectionRefusedError | ConnectionResetError,
         )
-        self._avoid(now)
+        self._back_off(now)
 
     def record_timeout(self, now: float) -> None:
-        """Note that the server left a question without an answer."""
+        """Record that a request to the server timed out."""
         self.timed_out_at = now
-        self._avoid(now)
+        self._back_off(now)
 
     async def acquire(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         values: Mapping[str, str],
-        patience: float = math.inf,
+        time_to_deadline: float = math.inf,
         workspace: str | None = None,
     ) -> ServerLease | Refusal:
-        """Lend a connection, best one that has the session's `values`.
+        """Acquire an own or borrowed connection.
 
-        After `patience` seconds the request will be late.  The connection is
-        of a `workspace`, or of anybody.
+        Connections that have the session's `values` are preferred.  The request
+        misses its objective if it waits longer than `time_to_deadline` seconds.
+        The connection belongs to `workspace`, if one is given.
 
         Raises
         ------
@@ -241,136 +245,136 @@
             If the server cannot be reached.
         """
         if self._has_few_connections and Policy.FEW_WAIT in self._policies:
-            limit = min(limit, FEW_WAIT)
+            timeout = min(timeout, FEW_WAIT)
         if not self.is_holder:
-            return await self.loans.acquire(group, limit, workspace=workspace)
-        borrowed = await self._borrow_if_busy(group, limit, workspace)
+            return await self.loans.acquire(group, timeout, workspace=workspace)
+        borrowed = await self._borrow_if_busy(group, timeout, workspace)
         if borrowed is not None:
             return borrowed
         try:
             return await self.acquire_own(
                 group,
-                limit,
+                timeout,
                 values,
-                patience,
+                time_to_deadline,
                 workspace,
             )
         except ConnectionLimitError:
-            # Connections of nodes that were killed linger for a while.
-            return await self.loans.acquire(group, limit, workspace=workspace)
+            # Connections of killed nodes may still use up the limit.
+            return await self.loans.acquire(group, timeout, workspace=workspace)
 
     async def acquire_own(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         values: Mapping[str, str],
-        patience: float = math.inf,
+        time_to_deadline: float = math.inf,
         workspace: str | None = None,
     ) -> ServerLease | Refusal:
-        """Lend a connection of this node's own; see `acquire`."""
+        """Acquire an own connection; see `acquire`."""
         return await self.pool.acquire(
             group,
-            limit,
+            timeout,
             lambda link: link.state.values == values,
-            patience,
+            time_to_deadline,
             workspace,
         )
 
     async def release(self, lease: ServerLease, is_clean: bool) -> None:
-        """Take a connection back; one that is not clean is closed."""
+        """Release a connection; one that is not clean is closed."""
         if lease.database is not self.own:
             await self.loans.release(lease, is_clean)
             return
         if self.pool.has_surplus or not self.is_holder:
-            # The deal has changed while it was in use.
+            # The allocation has changed while it was in use.
             lease.link.is_kept = False
         await self.pool.release(lease, is_clean)
 
     async def query_status(
         self,
-        limit: float = COMMAND_TIMEOUT_S,
+        timeout: float = COMMAND_TIMEOUT_S,
     ) -> ServerStatus | None:
-        """Ask the server about itself; None if it does not say."""
-        return await self.execute_command('read_status', limit=limit)
+        """Query the server's status; None if that fails."""
+        return await self.execute_command('read_status', limit=timeout)
 
     async def query_status_shared(self) -> ServerStatus | None:
-        """Ask as `query_status`, for all peers that want to know now."""
-        status: ServerStatus | None = await self._asking_status.get()
+        """Query the status once for all concurrent callers."""
+        status: ServerStatus | None = await self._status_query.get()
         return status
 
     async def execute_command(
         self,
-        step: str,
+        command: str,
         *arguments: int,
         limit: float = COMMAND_TIMEOUT_S,
     ) -> ServerStatus | None:
-        """Take one step of a change on the server.
+        """Execute a command of the proxy on the server.
 
         Parameters
         ----------
-        step : str
+        command : str
             Name of a method of `BackendLink`.
         *arguments : int
-            Its arguments, a term.
+            Its arguments, such as a term.
         limit : float
-            Longest wait in seconds.
+            Timeout in seconds.
 
         Returns
         -------
         ServerStatus or None
-            None if the server did not answer or refused.
+            None if the server did not answer or rejected the command.
         """
         asked_at = await curio.clock()
         self.status = None
         try:
             async with curio.timeout_after(limit):
-                reply = await self._call_step(step, arguments)
+                reply = await self._run_command(command, arguments)
         except curio.TaskTimeout:
-            self.fault = self._describe_silence(step, limit)
+            self.fault = self._describe_timeout(command, limit)
             self.record_timeout(await curio.clock())
             return None
         except ConnectionError as error:
-            self.fault = f'{step}: {error!r}'
-            self.note_failure(await curio.clock(), error)
+            self.fault = f'{command}: {error!r}'
+            self.record_failure(await curio.clock(), error)
             return None
         self.record_answer(await curio.clock())
         if not isinstance(reply, Rejection):
             self.status = reply
             return reply
-        self.fault = f'{step}: {reply.cause}: {reply.text}'
+        self.fault = f'{command}: {reply.cause}: {reply.text}'
         if reply.position is not None and reply.tells_position:
-            self.told = ReportedPosition(reply.position, asked_at)
+            self.reported_position = ReportedPosition(reply.position, asked_at)
         return None
 
     @property
     def _has_few_connections(self) -> bool:
-        """Whether own connections do not serve all requests of this node."""
+        """Whether this node has too few own connections for its requests."""
         return (
             not self.is_holder or self.pool.queue.slots < MIN_LOCAL_CONNECTIONS
         )
 
-    def _describe_silence(self, step: str, limit: float) -> str:
-        """Return what is logged of a question without an answer."""
+    def _describe_timeout(self, command: str, timeout: float) -> str:
+        """Return the log text for a command that timed out."""
         queue = self.pool.queue
         return (
-            f'no answer to {step} within {limit} s, connections: '
+            f'no answer to {command} within {timeout} s, connections: '
             f'{queue.held} of {queue.slots} in use, '
             f'{queue.waiting} waiting, {self.pool.idle} idle, '
             f'{self.loans.queue.held} borrowed'
         )
 
-    async def _call_step(
+    async def _run_command(
         self,
-        step: str,
+        command: str,
         arguments: tuple[int, ...],
     ) -> ServerStatus | Rejection:
-        """Use a pooled connection, or one beyond if all stay busy."""
+        """Run a command on a pooled connection, or outside the pool if busy."""
         lease = await self.acquire(_COMMAND_GROUP, COMMAND_POOL_TIMEOUT_S, {})
         if isinstance(lease, Refusal):
-            return await self._call_unpooled(step, arguments)
+            return await self._call_unpooled(command, arguments)
         is_clean = False
         try:
-            reply = await _invoke(lease.link, step, arguments)
+            reply = await _invoke(lease.link, command, arguments)
             is_clean = True
         finally:
             await self.release(lease, is_clean)
@@ -378,18 +382,18 @@
 
     async def _call_unpooled(
         self,
-        step: str,
+        command: str,
         arguments: tuple[int, ...],
     ) -> ServerStatus | Rejection:
-        """Use a connection beyond the pool, one that is not kept."""
-        backend = self._lending if self._has_few_connections else self.own
+        """Run a command on a new connection outside the pool."""
+        backend = self._loan_backend if self._has_few_connections else self.own
         link = await backend.connect(COMMAND_TIMEOUT_S)
-        is_whole = False
+        is_complete = False
         try:
-            reply = await _invoke(link, step, arguments)
-            is_whole = True
+            reply = await _invoke(link, command, arguments)
+            is_complete = True
         finally:
-            if not is_whole:
+            if not is_complete:
                 await link.close()
         await link.hand_back()
         return reply
@@ -397,30 +401,32 @@
     async def _borrow_if_busy(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         workspace: str | None,
     ) -> ServerLease | None:
-        """Borrow if the few own connections are busy and others are not."""
+        """Borrow a connection if the few own ones are busy."""
         if Policy.BORROWING not in self._policies:
             return None
         if not self._has_few_connections or not self.pool.queue.is_busy:
             return None
         try:
-            lease = await self.loans.acquire(group, limit, workspace=workspace)
+            lease = await self.loans.acquire(
+                group, timeout, workspace=workspace
+            )
         except ConnectionError:
-            # The others have none either: the request waits for its turn.
+            # No lender has one either: the request queues for an own one.
             return None
         return None if isinstance(lease, Refusal) else lease
 
-    def _avoid(self, now: float) -> None:
-        self._avoided_until = now + self._backoff
+    def _back_off(self, now: float) -> None:
+        self._backoff_until = now + self._backoff
         self._backoff = min(self._backoff * 2, MAX_BACKOFF_S)
 
 
 async def _invoke(
     link: BackendLink,
-    step: str,
+    command: str,
     arguments: tuple[int, ...],
 ) -> ServerStatus | Rejection:
-    reply: ServerStatus | Rejection = await getattr(link, step)(*arguments)
+    reply: ServerStatus | Rejection = await getattr(link, command)(*arguments)
     return reply
--- a/deckdrum/serving/service.py
+++ b/deckdrum/serving/service.py
@@ -1,4 +1,4 @@
-"""One database group as a node serves it."""
+"""Runtime state of one database group on a node."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
@@ -28,7 +28,7 @@
     ConnectionAllocator,
     list_remaining_nodes,
 )
-from deckdrum.serving.proofs import ProofSources, Source
+from deckdrum.serving.proofs import ProofQuery, ProofSources
 from deckdrum.serving.samples import SAMPLE_TIMEOUT_S, PrimarySampler
 from deckdrum.serving.servers import ServerHandle
 from deckdrum.sessions import Position
@@ -36,38 +36,37 @@
 from deckdrum.utils import Journal
 from deckdrum.utils.counters import Counters
 
-#: Weight of a group of callers by the priority of its route; 0 is the most
-#: urgent.  Twice the weight gets twice the connections when all wait.
+#: Weights of groups of callers, by priority of their route (0 is the highest).
+#: Under contention connections are shared in proportion to the weights.
 PRIORITY_WEIGHTS: Final = (4.0, 2.0, 1.0)
-#: Requests of one group that may wait for one server.
+#: Queued requests per group of callers and server.
 MAX_QUEUED_REQUESTS: Final = 64
-#: Pause between two rounds of questions to all servers, in seconds.
+#: Minimum interval between two queries of all servers for the primary.
 DISCOVERY_INTERVAL_S: Final = 0.05
-#: Longest wait for statements under way when a term ends, in seconds; most
-#: statements take 6 to 60 ms.
+#: Timeout for running statements when a term ends; most take 6 to 60 ms.
 TERM_DRAIN_TIMEOUT_S: Final = 0.12
 _DRAIN_POLL_INTERVAL_S: Final = 0.005
 
 
 class ServiceRuntime:
-    """A database group: its servers, its primary and its log's positions.
+    """Servers, leadership state and log positions of a database group.
 
     Parameters
     ----------
     declaration : ServiceDeclaration
-        The group as the configuration declares it.
+        Declaration of the group in the configuration.
     make_backend : callable
-        Makes what connects to a server.
+        Returns the backend of a server.
     store : ControlStore
-        Asked for proof when the replicas give none.
+        Queried for leadership proof if no replica provides it.
     peers : NodePeers
-        The other nodes, asked for proof.
+        The other nodes, queried for leadership proof.
     journal : Journal
-        For decisions and changes of belief.
+        Log of decisions and leadership changes.
     counters : Counters
-        For metrics.
+        Metrics.
     policies : frozenset of Policy
-        Mechanisms in force.
+        Enabled policies.
     """
 
     def __init__(
@@ -87,36 +86,36 @@
         self.history = History()
         self.journal = journal
         self.counters = counters
-        #: Called with a server that has just failed.
+        #: Callback for a server that has just failed.
         self.on_server_failure: Callable[[ServerHandle], None] | None = None
         #: Whether this node is changing the primary.
         self.is_changing_primary = False
-        #: Which nodes hold the group's connections.
+        #: Allocation of the group's connections to nodes.
         self.holding = ConnectionAllocator(declaration.name, peers, policies)
-        #: Statements at the primary that have no answer yet.
+        #: Number of statements that run on the primary.
         self.in_flight = 0
         self._make_backend = make_backend
         self._peers = peers
         self._proofs = ProofSources(
             self.leadership_state,
-            self._list_questions,
+            self._list_proof_queries,
             store,
             peers,
             journal,
             counters,
         )
         self._shares: dict[str, GroupShare] = {}
-        #: What became of connections to servers that are gone.
+        #: Pool statistics of servers that were removed.
         self.removed_server_stats: Counter[str] = Counter()
         self._discovered_at = float('-inf')
-        #: Samples of the primary, taken once for many callers.
+        #: Samples of the primary's log position, shared by concurrent callers.
         self.samples = PrimarySampler(
             self.leadership_state,
             self.history,
             peers,
             counters,
             self._pick_collector,
-            self._ask_primary,
+            self._sample_primary,
         )
 
     @property
@@ -126,14 +125,14 @@
 
     @property
     def primary(self) -> ServerHandle | None:
-        """The believed primary, if its term has not ended."""
+        """The known primary, unless its term has ended."""
         if not self.leadership_state.has_primary:
             return None
         return self.servers.get(self.leadership_state.primary)
 
     @property
     def replicas(self) -> list[ServerHandle]:
-        """Every server but the believed primary."""
+        """All servers except the known primary."""
         return [
             handle
             for name, handle in self.servers.items()
@@ -141,10 +140,11 @@
         ]
 
     def has_log(self, name: str, end: Position) -> bool:
-        """Tell whether a server with a log up to `end` may lead.
+        """Return whether a server whose log ends at `end` can be promoted.
 
-        One that has started again, empty, may do so only once it has the log
-        as far as it is known here: all that was acknowledged would be lost.
+        A restarted server may have lost its log.  It qualifies only once its
+        log includes the latest position known to this node; otherwise
+        acknowledged changes would be lost.
         """
         if not self.leadership_state.has_restarted(name):
             return True
@@ -156,22 +156,23 @@
         listed: Mapping[str, BackendServer],
         find_departure: Callable[[str], DrainStatus],
     ) -> None:
-        """Take over the servers of this group from the directory.
+        """Apply the directory's list of this group's servers.
 
-        `find_departure` tells of a server's planned end.
+        `find_departure` returns the planned shutdown of a server.
         """
         for name, server in listed.items():
             handle = self.servers.get(name)
             if handle is not None and not server.is_same_incarnation_as(
                 handle.server
             ):
-                # Its connections, positions and times are of a former life.
-                await self._drop(handle)
+                # The connections, positions and times belong to a previous
+                # incarnation of the server.
+                await self._remove_server(handle)
                 handle = None
             if handle is None:
                 own = DirectBackend(self._make_backend(server))
                 own.is_log_known_nonempty = partial(
-                    self._is_known_to_hold, name
+                    self._is_log_known_nonempty, name
                 )
                 handle = ServerHandle(
                     own,
@@ -184,8 +185,8 @@
                 )
                 self.servers[name] = handle
             handle.update(server, find_departure(name))
-        for gone in self.servers.keys() - listed.keys():
-            await self._drop(self.servers[gone])
+        for removed in self.servers.keys() - listed.keys():
+            await self._remove_server(self.servers[removed])
         starts = {
             handle.id: handle.server.started_at
             for handle in self.servers.values()
@@ -197,33 +198,33 @@
         declaration: ServiceDeclaration,
         own: Member,
         members: Mapping[str, Member],
-        workspaces: int,
+        workspace_count: int,
     ) -> None:
-        """Deal the servers' connections among the nodes that stay.
+        """Allocate the servers' connections to the nodes that are not leaving.
 
-        They belong to a number of `workspaces`, or to nobody.
+        `workspace_count` is 0 if connections belong to no workspace.
         """
         self.declaration = declaration
-        terms = AllocationInputs(
+        inputs = AllocationInputs(
             declaration.max_connections,
-            workspaces,
+            workspace_count,
             dict(members),
             frozenset(
                 (handle.id, handle.server.started_at)
                 for handle in self.servers.values()
             ),
         )
-        if self.holding.is_allocated_for(terms):
+        if self.holding.is_allocated_for(inputs):
             return
         if Policy.SHARED_PROOF in self.policies:
-            staying = list_remaining_nodes(own, members)
-            self._proofs.pick_collector(own, members, staying)
-        await self.holding.deal(terms, own, self.servers, self._shares)
+            remaining = list_remaining_nodes(own, members)
+            self._proofs.pick_collector(own, members, remaining)
+        await self.holding.allocate(inputs, own, self.servers, self._shares)
 
     async def set_route_share(self, route: Route) -> None:
-        """Give the callers of a route their share of the connections."""
-        place = min(route.priority, len(PRIORITY_WEIGHTS) - 1)
-        share = GroupShare(PRIORITY_WEIGHTS[max(0, place)], MAX_QUEUED_REQUESTS)
+        """Set the connection share of a route's callers."""
+        level = min(route.priority, len(PRIORITY_WEIGHTS) - 1)
+        share = GroupShare(PRIORITY_WEIGHTS[max(0, level)], MAX_QUEUED_REQUESTS)
         if self._shares.get(route.database) == share:
             return
         self._shares[route.database] = share
@@ -231,28 +232,28 @@
             await handle.apply_shares(self._shares)
 
     def record_position(self, position: Position, started_at: float) -> None:
-        """Note where the primary's log stood after `started_at`."""
+        """Record a position of the primary's log sampled after `started_at`."""
         if position.term == self.leadership_state.term:
             self.history.note(position.term, position.offset, started_at)
 
-    async def find_floor(self, max_age: float) -> Position | None:
-        """Return the position that a read of bounded age must include.
+    async def find_min_position(self, max_age: float) -> Position | None:
+        """Return the position that a read no older than `max_age` must include.
 
-        A sample was taken with proof that its term went on; it covers what
-        had been answered until then, whatever has become of the term since.
-        So replicas serve such reads also while a primary is replaced.
+        Samples are taken while the term is proven valid, so they include all
+        changes acknowledged before.  They remain usable after the term has
+        ended: replicas serve bounded reads during a primary change.
 
         Returns
         -------
         Position or None
-            None if this node has no sample of a primary young enough.
+            None if this node has no sample that is recent enough.
         """
         now = await curio.clock()
         offset = self.history.find_floor(max_age, now)
         return None if offset is None else Position(self.history.term, offset)
 
     async def ask(self, handle: ServerHandle) -> ServerStatus | None:
-        """Ask a server about itself and take over what it says."""
+        """Query a server's status and apply it to the leadership state."""
         asked_at = await curio.clock()
         self.counters.count('status_questions')
         status = await handle.query_status()
@@ -269,16 +270,16 @@
         return status
 
     def report_server_failure(self, handle: ServerHandle) -> None:
-        """Have a failed server looked at."""
+        """Report a failed server to the callback."""
         if self.on_server_failure is not None:
             self.on_server_failure(handle)
 
     async def discover_primary(self) -> None:
-        """Look for a primary, unless that was done a moment ago.
+        """Query servers for the primary, once per `DISCOVERY_INTERVAL_S`.
 
-        The server that says in the directory that it leads is asked first,
-        and the others only if it does not: many nodes ask when all of them
-        start.
+        The server listed as primary in the directory is queried first, and the
+        others only if it is not the primary.  This limits the queries when many
+        nodes start at once.
         """
         now = await curio.clock()
         if now - self._discovered_at < DISCOVERY_INTERVAL_S:
@@ -293,58 +294,61 @@
         others = [
             handle for handle in self.servers.values() if handle not in listed
         ]
-        await self._ask_each(listed)
+        await self._query_each(listed)
         if self.primary is None:
-            await self._ask_each(others)
+            await self._query_each(others)
 
     async def ensure_primary(
         self,
-        limit: float,
+        timeout: float,
         *,
-        for_work: bool = True,
+        for_statements: bool = True,
     ) -> ServerHandle | None:
-        """Return a primary with valid proof, within `limit` seconds.
+        """Return the primary once its proof is valid.
 
-        One that has left gets no work, only questions.
+        If `for_statements` is set, a draining primary that accepts no new
+        statements is not returned.
 
         Returns
         -------
         ServerHandle or None
-            None if there is none in time.
+            None if there is none within `timeout` seconds.
         """
-        deadline = await curio.clock() + limit
+        deadline = await curio.clock() + timeout
         while True:
             now = await curio.clock()
             primary = self.primary
-            is_barred = for_work and _has_left(primary, now)
+            is_past_cutoff = for_statements and _has_left(primary, now)
             if (
                 primary
-                and not is_barred
+                and not is_past_cutoff
                 and self.leadership_state.is_primary_usable(now)
             ):
                 await self._proofs.renew_if_expiring(now)
                 return primary
-            # Where all have left there is nothing to wait for.
-            is_hopeless = for_work and _have_all_left(self.servers, now)
-            if now >= deadline or is_hopeless:
+            # If no server accepts new statements, waiting is useless.
+            is_unavailable = for_statements and _have_all_left(
+                self.servers, now
+            )
+            if now >= deadline or is_unavailable:
                 return None
-            if is_barred:
+            if is_past_cutoff:
                 await self.leadership_state.wait_for_change(
                     DISCOVERY_INTERVAL_S
                 )
             elif primary is None:
-                await self._look_for_primary(deadline - now)
+                await self._find_primary(deadline - now)
             elif not await self.renew_proof():
                 await self.leadership_state.wait_for_change(
                     min(DISCOVERY_INTERVAL_S, deadline - now),
                 )
 
     async def fetch_proof_age(self, term: int) -> float:
-        """Return the age of this node's proof in seconds; -1 without any."""
+        """Return the age of this node's proof in seconds; -1 without proof."""
         return await self._proofs.fetch_age(term)
 
     async def renew_proof(self) -> bool:
-        """Get proof that the term has not ended; tell whether there is."""
+        """Renew the leadership proof; return whether it is valid."""
         return await self._proofs.renew()
 
     async def close_term(
@@ -353,15 +357,16 @@
         may_finish: bool,
         fence: int,
     ) -> None:
-        """End a term and release no change of it that is answered later.
+        """End a term; changes of it that are answered later are not confirmed.
 
-        `fence` is the revision of the claim that ends it.
+        `fence` is the revision of the claim that ends the term.
 
-        Statements under way get a bounded wait if they `may_finish`; an
-        answer that comes afterwards is a doubt.
+        If `may_finish` is set, running statements get up to
+        `TERM_DRAIN_TIMEOUT_S` to finish.  Changes answered after that have an
+        unknown outcome.
         """
         await self.leadership_state.end_term(
-            term, 'a node changes the primary', fence
+            term, 'primary change in progress', fence
         )
         async with curio.ignore_after(TERM_DRAIN_TIMEOUT_S):
             while may_finish and self.in_flight:
@@ -373,60 +378,62 @@
         for handle in self.servers.values():
             await handle.pool.close_idle()
 
-    async def _drop(self, handle: ServerHandle) -> None:
-        """Use a server, or a former life of it, no more."""
+    async def _remove_server(self, handle: ServerHandle) -> None:
+        """Remove a server or a previous incarnation of it."""
         self.servers.pop(handle.id)
         self.removed_server_stats.update(asdict(handle.pool.figures))
         handle.is_holder = False
         await handle.pool.close_idle()
 
-    def _is_known_to_hold(self, name: str) -> bool:
-        """Tell whether a server leads with a log that is not empty."""
+    def _is_log_known_nonempty(self, name: str) -> bool:
+        """Return whether a server is a primary with a non-empty log."""
         is_sampled = self.history.term == self.leadership_state.term
         is_primary = name == self.leadership_state.primary
         return is_primary and is_sampled and self.history.latest[0] > 0
 
     def _pick_collector(self) -> Member | None:
-        """Return the node of this data centre that samples for all, if any."""
+        """Return the node that samples for this data centre, if any."""
         is_shared = Policy.SHARED_SAMPLES in self.policies
         return self._proofs.collector if is_shared else None
 
-    async def _ask_primary(self) -> bool:
-        """Ask the primary where its log stands; tell whether it said so."""
-        primary = await self.ensure_primary(SAMPLE_TIMEOUT_S, for_work=False)
+    async def _sample_primary(self) -> bool:
+        """Sample the primary's log position; return whether that succeeded."""
+        primary = await self.ensure_primary(
+            SAMPLE_TIMEOUT_S, for_statements=False
+        )
         if primary is None:
             return False
         started_at = await curio.clock()
         self.counters.count('primary_samples')
         status = await self.ask(primary)
         position = None if status is None else status.received
-        told = primary.told
-        if position is None and told and told.asked_at >= started_at:
-            # It refused the question, and told where its log stands.
-            position = told.position
+        reported = primary.reported_position
+        if position is None and reported and reported.asked_at >= started_at:
+            # The query was rejected, but the rejection has the log position.
+            position = reported.position
         if position is None or position.term != self.leadership_state.term:
             return False
         self.record_position(position, started_at)
         return True
 
-    async def _ask_each(self, handles: Iterable[ServerHandle]) -> None:
-        async with curio.TaskGroup() as asking:
+    async def _query_each(self, handles: Iterable[ServerHandle]) -> None:
+        async with curio.TaskGroup() as queries:
             for handle in handles:
-                await asking.spawn(self.ask, handle)
+                await queries.spawn(self.ask, handle)
 
-    def _list_questions(self) -> list[Source]:
-        """Return a question to each replica, the best first."""
+    def _list_proof_queries(self) -> list[ProofQuery]:
+        """Return one status query per replica, the most promising first."""
         ranked = sorted(
             self.replicas,
             key=lambda handle: (handle.timed_out_at, handle.load),
         )
         return [partial(self.ask, handle) for handle in ranked]
 
-    async def _look_for_primary(self, limit: float) -> None:
+    async def _find_primary(self, timeout: float) -> None:
         if self.leadership_state.term and not self.leadership_state.has_primary:
-            # Whoever changes the primary announces it.
+            # The node that changes the primary announces the new one.
             await self.leadership_state.wait_for_change(
-                min(DISCOVERY_INTERVAL_S, limit)
+                min(DISCOVERY_INTERVAL_S, timeout)
             )
         await self.discover_primary()
 
@@ -436,7 +443,7 @@
 
 
 def _have_all_left(servers: Mapping[str, ServerHandle], now: float) -> bool:
-    """Tell whether a group has servers, and none that gets new work."""
+    """Return whether there are servers and none accepts new statements."""
     return bool(servers) and all(
         handle.departure.is_past_cutoff(now) for handle in servers.values()
     )
--- a/deckdrum/serving/session.py
+++ b/deckdrum/serving/session.py
@@ -1,4 +1,4 @@
-"""One caller's session: what each operation means, whatever the protocol."""
+"""Protocol-independent handling of a caller's operations."""
 
 from collections.abc import Awaitable, Callable
 from types import MappingProxyType
@@ -32,16 +32,16 @@
 
 
 class CallerSession:
-    """Runs one caller's operations, one at a time.
+    """Runs the operations of one caller, one at a time.
 
     Parameters
     ----------
     host : SessionHost
         The node.
     database : str
-        The database name that the caller has connected to.
+        Database name that the caller has connected to.
     fingerprint : str
-        Of the caller's key.
+        Fingerprint of the caller's key.
     """
 
     def __init__(
@@ -54,22 +54,22 @@
         self.state = SessionState(database, fingerprint)
         self._transactions = TransactionRunner(host, self.state)
         self.is_busy = False
-        #: When the last operation ended, in kernel seconds.
+        #: When the last operation ended, on the clock of `curio.clock`.
         self.idle_since: float = 0
 
     @property
     def standing(self) -> Standing:
-        """Whether the session is inside a transaction."""
+        """Transaction status of the session."""
         return self.state.standing
 
     @property
     def is_inactive(self) -> bool:
-        """Whether no request and no transaction is under way."""
+        """Whether no operation is running and no transaction is open."""
         return not self.is_busy and self.state.transaction is None
 
     @property
     def has_idle_transaction(self) -> bool:
-        """Whether a transaction is open and no statement of it runs."""
+        """Whether a transaction is open while no operation is running."""
         return not self.is_busy and self.state.transaction is not None
 
     async def execute(self, request: Request) -> Outcome:
@@ -77,8 +77,8 @@
         self.is_busy = True
         began = await curio.clock()
         try:
-            perform = _PERFORMERS[type(request.operation)]
-            outcome = await perform(self, request)
+            method = _OPERATION_METHODS[type(request.operation)]
+            outcome = await method(self, request)
         finally:
             self.is_busy = False
             self.idle_since = await curio.clock()
@@ -87,22 +87,26 @@
         return outcome
 
     async def abort_transaction(self, reason: str) -> None:
-        """Roll back the open transaction; the caller's next request tells it.
+        """Roll back the open transaction and report it to the next request.
 
-        Called between two operations only.
+        Must not be called while an operation is running.
         """
         transaction = self.state.transaction
         if transaction is not None and not transaction.is_failed:
             transaction.is_failed = True
             transaction.unreported_failure = reason
-            await self._transactions.free(transaction, Standing.OPEN)
+            await self._transactions.release_connection(
+                transaction, Standing.OPEN
+            )
 
     async def close(self) -> None:
-        """End the session; an open transaction is rolled back."""
+        """End the session and roll back an open transaction."""
         transaction = self.state.transaction
         self.state.transaction = None
         if transaction is not None:
-            await self._transactions.free(transaction, Standing.OPEN)
+            await self._transactions.release_connection(
+                transaction, Standing.OPEN
+            )
 
     async def _set_value(self, request: Request) -> Outcome:
         operation = request.operation
@@ -148,7 +152,7 @@
         if transaction is None:
             return _refuse_out_of_order(request)
         self.state.transaction = None
-        await self._transactions.free(transaction, Standing.OPEN)
+        await self._transactions.release_connection(transaction, Standing.OPEN)
         return Answer()
 
     async def _commit(self, request: Request) -> Outcome:
@@ -162,7 +166,7 @@
         self.state.transaction = None
         return outcome
 
-    async def _statement(self, request: Request) -> Outcome:
+    async def _run_statement(self, request: Request) -> Outcome:
         effect = self._find_effect(request)
         if isinstance(effect, Refusal):
             return effect
@@ -172,7 +176,7 @@
             )
         transaction = self.state.transaction
         if transaction is not None:
-            return await self._run_checked(request, effect, transaction)
+            return await self._run_in_transaction(request, effect, transaction)
         access = await self._admit()
         if isinstance(access, Refusal):
             return access
@@ -185,7 +189,7 @@
             return refuse(Code.NOT_CONFIGURED, route.service)
         return await runner.run_single(request, effect, route, self.state)
 
-    async def _run_checked(
+    async def _run_in_transaction(
         self,
         request: Request,
         effect: Effect,
@@ -200,7 +204,10 @@
         return await self._transactions.run(request, transaction)
 
     async def _admit(self) -> Access | Refusal:
-        """Begin an operation; return what it may use, and note for whom."""
+        """Return the access of an operation that its workspace's limit admits.
+
+        The workspace is stored in the session's state.
+        """
         access = self._host.find_access(self.state)
         if isinstance(access, Refusal):
             return access
@@ -208,7 +215,7 @@
         return await self._host.spend_limit(access) or access
 
     def _take_unreported_failure(self) -> Refusal | None:
-        """Tell once that the product has rolled the transaction back."""
+        """Return a refusal for a rolled back transaction, once."""
         transaction = self.state.transaction
         if transaction is None or not transaction.unreported_failure:
             return None
@@ -236,9 +243,9 @@
     return refuse(Code.PROTOCOL_VIOLATION, f'{name} is not possible here')
 
 
-_Performer = Callable[[CallerSession, Request], Awaitable[Outcome]]
-_Performers = MappingProxyType[type[Any], _Performer]
-_PERFORMERS: Final[_Performers] = MappingProxyType(
+_OperationMethod = Callable[[CallerSession, Request], Awaitable[Outcome]]
+_MethodTable = MappingProxyType[type[Any], _OperationMethod]
+_OPERATION_METHODS: Final[_MethodTable] = MappingProxyType(
     {
         SetValue: CallerSession._set_value,
         Prepare: CallerSession._prepare,
@@ -246,7 +253,7 @@
         Begin: CallerSession._begin,
         Rollback: CallerSession._rollback,
         Commit: CallerSession._commit,
-        Run: CallerSession._statement,
-        Execute: CallerSession._statement,
+        Run: CallerSession._run_statement,
+        Execute: CallerSession._run_statement,
     },
 )
--- a/deckdrum/serving/state.py
+++ b/deckdrum/serving/state.py
@@ -1,4 +1,4 @@
-"""What a caller's session remembers between its operations."""
+"""State of a caller's session."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PreparedStatement:
-    """A statement that the caller has prepared."""
+    """A prepared statement of a caller."""
 
     effect: Effect
     shape: str
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class PinnedConnection:
-    """A server's connection that an open transaction holds."""
+    """A connection to a server that is held by an open transaction."""
 
     handle: ServerHandle
     lease: ServerLease
@@ -37,7 +37,7 @@
 
 
 class ForwardedTransaction(ABC):
-    """A transaction that another node runs for this one."""
+    """A transaction that another node runs on behalf of this one."""
 
     @abstractmethod
     async def run(
@@ -47,40 +47,40 @@
         *,
         may_last: bool,
     ) -> Answer | Refusal:
-        """Run a statement of it; after a refusal it has ended.
+        """Run a statement of the transaction.
 
-        `may_last` tells that the statement may make changes last: without an
-        answer it is in doubt.
+        A refusal ends the transaction.  `may_last` says that the statement may
+        commit changes, so its outcome is unknown if no answer arrives.
         """
 
     @abstractmethod
     async def release(self) -> None:
-        """Roll it back if it is open."""
+        """Roll the transaction back if it is open."""
 
 
 @dataclass(slots=True)
 class Transaction:
     """A transaction of the caller.
 
-    It begins on a server only with its first statement, so that a caller
-    who rests after BEGIN holds no connection.
+    It is opened on a server with its first statement, so that a caller that
+    is idle after BEGIN holds no connection.
 
     Attributes
     ----------
     read_only : bool
-        Whether the caller has opened it for reading only.
+        Whether the caller has opened it as read-only.
     route : Route
-        How it is served; a later configuration binds the next one.
-    pin : Pin or None
-        Its connection, once it has begun on a server.
+        Its route; configuration changes apply to the next transaction.
+    pin : PinnedConnection or None
+        Its connection, once it has been opened on a server.
     forwarded : ForwardedTransaction or None
-        In place of it, the node that runs the transaction.
+        Set instead of `pin` if another node runs the transaction.
     has_written : bool
         Whether a statement that may change data was sent.
     is_failed : bool
         Whether it can only be rolled back.
-    untold : str
-        Why the product has rolled it back, until the caller is told.
+    unreported_failure : str
+        Reason why the proxy has rolled it back, until reported to the caller.
     """
 
     read_only: bool
@@ -94,25 +94,25 @@
 
 @dataclass(slots=True)
 class SessionState:
-    """State of one session.
+    """State of one session, kept between its operations.
 
     Attributes
     ----------
     database : str
-        Name that the caller has connected to.
+        Database name that the caller has connected to.
     fingerprint : str
-        Of the caller's key.
+        Fingerprint of the caller's key.
     workspace : str
-        Which workspace held the key when the latest transaction, or statement
-        outside one, began.
+        Workspace of the key when the latest transaction, or statement outside
+        a transaction, began.
     values : dict of str to str
-        Session values.
+        Session variables set by the caller.
     prepared : dict of str to PreparedStatement
-        Prepared statements by the caller's names.
+        Prepared statements by name.
     floor : Position
         Position of the session's latest change.
     transaction : Transaction or None
-        The open one.
+        The open transaction.
     """
 
     database: str
@@ -130,13 +130,13 @@
         return None
 
     def note_change(self, answer: Answer) -> None:
-        """Note the answer to a change, so that later reads show it."""
+        """Record the position of a change, so that later reads include it."""
         if answer.position is not None:
             self.floor = max(self.floor, answer.position)
 
     @property
     def standing(self) -> Standing:
-        """Whether the session is inside a transaction."""
+        """Transaction status of the session."""
         if self.transaction is None:
             return Standing.IDLE
         return Standing.FAILED if self.transaction.is_failed else Standing.OPEN
--- a/deckdrum/serving/tests/test_leaving_servers.py
+++ b/deckdrum/serving/tests/test_leaving_servers.py
@@ -1,11 +1,7 @@
-"""What a node still sends to a server that leaves.
-
-Requests of several nodes reached a primary long after it had said that it
-leaves.  Nothing ends its use by time: a node that knows sends it everything for
-as long as it answers and nobody has followed it.  The logs of that day did not
-tell what the senders knew; of a node in this test the line
-``server.used_while_leaving`` has the role of a primary, with ``known_for`` from
-0.2 s on, and work reaches the server past the 7 s for which it serves on.
+"""Statements must not reach a draining server after its drain time.
+
+Guards against nodes that use a draining primary for as long as it answers
+because no other server has been promoted.
 """
 
 import curio
@@ -21,24 +17,26 @@
     play,
 )
 
-#: How long the callers go on, in seconds.
-WATCHED = 12.0
-#: Longest time in which a request that cannot be served is refused, in s.
-AT_ONCE = 0.1
+#: Duration of the callers' requests.
+REQUESTS_DURATION_S = 12.0
+#: Upper bound for the time until a request is refused.
+MAX_REFUSAL_TIME_S = 0.1
 
 
-async def _keep_asking(client: LineClient, text: str, seconds: float) -> None:
+async def _repeat_request(
+    client: LineClient, text: str, seconds: float
+) -> None:
     ends_at = await curio.clock() + seconds
     while await curio.clock() < ends_at:
         await client.ask(text)
         await curio.sleep(0.05)
 
 
-async def _watch_leaving(
+async def _list_late_servers(
     deployment: Deployment,
     seconds: float,
 ) -> list[str]:
-    """Return what runs at any server after the time to leave is up."""
+    """Return the servers that run statements after the drain time."""
     kinds = ((CURRENT, 'WRITE a 1'), (BOUNDED, 'READ a'), (OWN, 'READ a'))
     callers = [
         (await deployment.connect(database, node), text)
@@ -47,38 +45,38 @@
     ]
     async with curio.TaskGroup() as asking:
         for client, text in callers:
-            await asking.spawn(_keep_asking, client, text, seconds)
+            await asking.spawn(_repeat_request, client, text, seconds)
         await curio.sleep(DRAIN_TIME)
         ran_before = len(deployment.group.ran)
     return [ran.server for ran in deployment.group.ran[ran_before:]]
 
 
 @pytest.mark.parametrize('nodes', [3, 9])
-def test_leaving_primary_without_a_successor_gets_no_work(nodes: int) -> None:
+def test_draining_primary_without_successor_gets_no_statements(
+    nodes: int,
+) -> None:
     async def scenario(deployment: Deployment) -> None:
-        leaving = deployment.group.primary
+        draining = deployment.group.primary
         for server in deployment.group.servers.values():
-            if server is not leaving:
+            if server is not draining:
                 await server.crash()
-        await leaving.drain()
-        late = await _watch_leaving(deployment, WATCHED)
-        assert leaving.name not in late
+        await draining.drain()
+        late = await _list_late_servers(deployment, REQUESTS_DURATION_S)
+        assert draining.name not in late
 
     play(scenario, nodes=nodes)
 
 
-def test_group_that_leaves_as_a_whole_gets_no_work() -> None:
+def test_group_that_drains_entirely_gets_no_statements() -> None:
     async def scenario(deployment: Deployment) -> None:
         for server in deployment.group.servers.values():
             await server.drain()
-        assert not await _watch_leaving(deployment, WATCHED)
+        assert not await _list_late_servers(deployment, REQUESTS_DURATION_S)
 
     play(scenario)
 
 
-def test_what_only_a_server_that_has_left_could_run_is_refused_at_once() -> (
-    None
-):
+def test_statement_for_drained_servers_is_refused_immediately() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         for server in deployment.group.servers.values():
@@ -87,34 +85,34 @@
         began = await curio.clock()
         refused = await client.ask('WRITE a 1')
         assert not refused.is_done
-        assert await curio.clock() - began < AT_ONCE
+        assert await curio.clock() - began < MAX_REFUSAL_TIME_S
 
     play(scenario)
 
 
-def test_lapse_of_the_entry_does_not_give_new_time() -> None:
+def test_republished_entry_does_not_extend_drain_time() -> None:
     async def scenario(deployment: Deployment) -> None:
-        leaving = deployment.group.primary
+        draining = deployment.group.primary
         for server in deployment.group.servers.values():
-            if server is not leaving:
+            if server is not draining:
                 await server.crash()
-        await leaving.drain()
+        await draining.drain()
         await curio.sleep(1)
-        await deployment.store.drop('servers', leaving.name)
-        # Longer than the nodes remember a server that is not listed.
+        await deployment.store.drop('servers', draining.name)
+        # Longer than nodes keep a server that is no longer listed.
         await curio.sleep(5.5)
-        await leaving.publish()
+        await draining.publish()
         await curio.sleep(0.5)
         client = await deployment.connect(CURRENT)
         ran_before = len(deployment.group.ran)
-        await _keep_asking(client, 'WRITE a 1', 3)
+        await _repeat_request(client, 'WRITE a 1', 3)
         assert len(deployment.group.ran) == ran_before
 
     play(scenario)
 
 
-def test_leaving_primary_is_replaced_in_the_end_without_consent() -> None:
-    """No node hears another, so that no planned change is agreed."""
+def test_draining_primary_is_replaced_without_peer_consent() -> None:
+    """Nodes cannot reach each other, so no planned change is agreed."""
 
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
--- a/deckdrum/serving/tests/test_lending.py
+++ b/deckdrum/serving/tests/test_lending.py
@@ -1,6 +1,6 @@
-"""Placing connections among nodes, borrowing them, and handing work over.
+"""Allocation and borrowing of connections, and forwarding of statements.
 
-What callers must see is the same with and without the hand-over.
+Callers must get the same results with and without forwarding.
 """
 
 from collections import Counter
@@ -27,47 +27,51 @@
 
 
 def build_nodes(count: int) -> dict[str, str]:
-    """Return nodes spread over three data centres."""
+    """Return nodes distributed over three data centres."""
     return {f'n{number}': CENTRES[number % 3] for number in range(count)}
 
 
 @pytest.mark.parametrize('count', [1, 2, 9, 12, 30, 71, 300])
 @pytest.mark.parametrize('limit', [3, 12, 23, 53, 283])
-def test_deal_keeps_the_reserve(count: int, limit: int) -> None:
-    deal = allocate_connections('i-1', build_nodes(count), limit)
-    used = sum(deal.holders.values())
+def test_allocation_leaves_reserved_connections(count: int, limit: int) -> None:
+    allocation = allocate_connections('i-1', build_nodes(count), limit)
+    used = sum(allocation.holders.values())
     assert used <= max(1, limit - RESERVED_CONNECTIONS)
-    assert min(deal.holders.values()) >= 1
-    # The connections of former lives may linger beside those of the next,
-    # unless one for each node takes more than half.
-    goes_round_once = set(deal.holders.values()) == {1} and used == count
-    assert used <= max(1, limit // 2) or goes_round_once
+    assert min(allocation.holders.values()) >= 1
+    # Half of the limit stays free for connections that previous incarnations
+    # leave open, unless one connection per node takes more than half.
+    is_one_per_node = set(allocation.holders.values()) == {1} and used == count
+    assert used <= max(1, limit // 2) or is_one_per_node
 
 
-def test_every_node_holds_where_there_is_enough() -> None:
-    deal = allocate_connections('i-1', build_nodes(9), 38)
-    assert len(deal.holders) == 9
-    assert min(deal.holders.values()) == 2
+def test_every_node_is_a_holder_if_connections_suffice() -> None:
+    allocation = allocate_connections('i-1', build_nodes(9), 38)
+    assert len(allocation.holders) == 9
+    assert min(allocation.holders.values()) == 2
     plenty = allocate_connections('i-1', build_nodes(2), 100)
     assert set(plenty.holders.values()) == {MAX_CONNECTIONS_PER_NODE}
 
 
 @pytest.mark.parametrize('count', [2, 5, 7, 9, 12])
-def test_what_does_not_go_round_goes_to_the_nearest_nodes(count: int) -> None:
+def test_surplus_connections_go_to_nearest_nodes(count: int) -> None:
     nodes = build_nodes(count)
     limit = 2 * (count + 2)
-    deal = allocate_connections('i-1', nodes, limit, data_centre='b')
-    assert sum(deal.holders.values()) == count + 2
-    most = max(deal.holders.values())
-    near = [name for name, centre in nodes.items() if centre == 'b']
-    favoured = [name for name, held in deal.holders.items() if held == most]
-    assert set(near) <= set(favoured) or set(favoured) <= set(near)
+    allocation = allocate_connections('i-1', nodes, limit, data_centre='b')
+    assert sum(allocation.holders.values()) == count + 2
+    most = max(allocation.holders.values())
+    local_nodes = [name for name, centre in nodes.items() if centre == 'b']
+    favoured_nodes = [
+        name for name, held in allocation.holders.items() if held == most
+    ]
+    assert set(local_nodes) <= set(favoured_nodes) or set(
+        favoured_nodes
+    ) <= set(local_nodes)
 
 
-def test_few_holders_are_spread_over_the_data_centres() -> None:
+def test_few_holders_are_spread_over_data_centres() -> None:
     nodes = build_nodes(71)
-    deal = allocate_connections('i-1', nodes, 53)
-    per_centre = Counter(nodes[name] for name in deal.holders)
+    allocation = allocate_connections('i-1', nodes, 53)
+    per_centre = Counter(nodes[name] for name in allocation.holders)
     assert set(per_centre) == set(CENTRES)
     assert max(per_centre.values()) - min(per_centre.values()) <= 1
 
@@ -79,7 +83,7 @@
     assert set(first) != set(second)
 
 
-def test_one_node_that_goes_changes_one_holder() -> None:
+def test_removing_a_node_changes_at_most_one_holder() -> None:
     nodes = build_nodes(71)
     before = allocate_connections('i-1', nodes, 53).holders
     nodes.pop(next(iter(before)))
@@ -119,7 +123,7 @@
     play(scenario, nodes=12, max_connections=9, policies=policies)
 
 
-def test_transaction_on_a_borrowed_connection_is_kept() -> None:
+def test_transaction_on_borrowed_connection_is_committed() -> None:
     async def scenario(deployment: Deployment) -> None:
         node = deployment.nodes[0].node
         await deployment.wait_for(lambda: len(node.view.members) == 12)
@@ -170,18 +174,18 @@
     play(scenario)
 
 
-def test_no_connection_stays_lent_when_the_servers_were_full() -> None:
+def test_loans_end_after_connection_limit_was_reached() -> None:
     async def scenario(deployment: Deployment) -> None:
         for running in deployment.nodes:
             for handle in running.node.services[SERVICE].servers.values():
                 await handle.pool.close_idle()
-        # As when connections of nodes that lost power linger.
+        # As if connections of nodes that lost power were still open.
         deployment.group.max_connections = 4
         async with curio.TaskGroup() as callers:
             for number in range(9):
                 for database in (CURRENT, BOUNDED):
                     await callers.spawn(
-                        _ask_often, deployment, database, number
+                        _repeat_requests, deployment, database, number
                     )
         deployment.group.max_connections = 23
         await curio.sleep(1)
@@ -193,13 +197,13 @@
     play(scenario, nodes=9, work=0.02)
 
 
-def test_busy_lenders_do_not_drive_others_to_connect_themselves() -> None:
+def test_busy_lenders_do_not_cause_direct_connections() -> None:
     async def scenario(deployment: Deployment) -> None:
         async with curio.TaskGroup() as callers:
             for number in range(12):
                 for database in (CURRENT, BOUNDED, CURRENT):
                     await callers.spawn(
-                        _ask_often, deployment, database, number
+                        _repeat_requests, deployment, database, number
                     )
         refused = sum(
             server.load.refused_connections
@@ -218,7 +222,7 @@
         )
 
 
-def test_resting_transactions_do_not_keep_others_from_borrowing() -> None:
+def test_idle_transactions_do_not_block_borrowing() -> None:
     async def scenario(deployment: Deployment) -> None:
         primary = deployment.group.primary
         holders = [
@@ -226,17 +230,16 @@
             for number, running in enumerate(deployment.nodes)
             if running.node.services[SERVICE].servers[primary.name].is_holder
         ]
-        # All connections but one rest in transactions, and so does the one
-        # that the last node would have lent itself.
-        resting = []
+        # Idle transactions hold one connection of every holder.
+        idle_clients = []
         for number in holders:
             client = await deployment.connect(CURRENT, node=number)
             await client.ask('BEGIN')
             await client.ask('WRITE a 1')
-            resting.append(client)
-        waiting = await curio.spawn(_write_at, deployment, holders[0])
+            idle_clients.append(client)
+        waiting = await curio.spawn(_write_on_node, deployment, holders[0])
         await curio.sleep(0.6)
-        await resting[-1].ask('ROLLBACK')
+        await idle_clients[-1].ask('ROLLBACK')
         began = await curio.clock()
         assert (await waiting.join()).is_done
         assert await curio.clock() - began < 0.6
@@ -252,23 +255,23 @@
         )
 
 
-async def _write_at(deployment: Deployment, number: int) -> Reply:
+async def _write_on_node(deployment: Deployment, number: int) -> Reply:
     client = await deployment.connect(CURRENT, node=number)
     return await client.ask('WRITE b 1')
 
 
-def test_deals_of_two_servers_reach_different_nodes() -> None:
+def test_two_servers_are_allocated_to_different_nodes() -> None:
     nodes = build_nodes(71)
     held = [
         set(allocate_connections(server, nodes, 53).holders)
         for server in ('i-1', 'i-2')
     ]
-    # As many as the two deals can reach, but for a fifth.
+    # At least 80 % of the nodes that two allocations can reach.
     most = min(len(nodes), len(held[0]) + len(held[1]))
     assert len(held[0] | held[1]) >= 0.8 * most
 
 
-async def _ask_often(
+async def _repeat_requests(
     deployment: Deployment,
     database: str,
     number: int,
--- a/deckdrum/serving/tests/test_lost_answers.py
+++ b/deckdrum/serving/tests/test_lost_answers.py
@@ -1,4 +1,4 @@
-"""Answers that are lost or late, through whole nodes in virtual time."""
+"""Lost and late answers, tested with complete nodes in virtual time."""
 
 import curio
 
@@ -14,23 +14,23 @@
 )
 
 
-async def connect_known(
+async def connect_and_warm_up(
     deployment: Deployment,
     database: str = CURRENT,
 ) -> LineClient:
-    """Open a session at a node that knows the usual times of servers."""
+    """Open a session on a node that has estimated the response times."""
     client = await deployment.connect(database)
     for _ in range(12):
         await client.ask('READ a')
     return client
 
 
-async def ask_beside_others(
+async def ask_during_other_reads(
     deployment: Deployment,
     client: LineClient,
     text: str,
 ) -> Reply:
-    """Ask a statement while the primary answers another caller."""
+    """Send a request while the primary answers another caller."""
     other = await deployment.connect(CURRENT)
     asking = await curio.spawn(client.ask, text)
     await curio.sleep(0.001)
@@ -41,24 +41,24 @@
     return reply
 
 
-def test_lost_answer_of_a_current_read_is_asked_for_again() -> None:
+def test_current_read_is_retried_after_lost_answer() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await connect_known(deployment)
+        client = await connect_and_warm_up(deployment)
         deployment.group.primary.lost_answers = 1
         began = await curio.clock()
-        reply = await ask_beside_others(deployment, client, 'READ a')
+        reply = await ask_during_other_reads(deployment, client, 'READ a')
         assert reply.is_done
         assert await curio.clock() - began < 0.25
 
     play(scenario)
 
 
-def test_doubt_of_a_write_is_told_once_waiting_cannot_help() -> None:
+def test_write_with_lost_answer_times_out_early() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await connect_known(deployment)
+        client = await connect_and_warm_up(deployment)
         deployment.group.primary.lost_answers = 1
         began = await curio.clock()
-        reply = await ask_beside_others(deployment, client, 'WRITE a 1')
+        reply = await ask_during_other_reads(deployment, client, 'WRITE a 1')
         assert reply.text.startswith('TIMEOUT')
         assert await curio.clock() - began < 0.6
         assert len(deployment.group.primary.log) == 1
@@ -66,9 +66,9 @@
     play(scenario)
 
 
-def test_lost_answer_in_a_transaction_ends_it_early() -> None:
+def test_lost_answer_aborts_transaction_early() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await connect_known(deployment)
+        client = await connect_and_warm_up(deployment)
         await client.ask('BEGIN')
         await client.ask('WRITE a 1')
         deployment.group.primary.lost_answers = 1
@@ -82,9 +82,9 @@
     play(scenario)
 
 
-def test_lost_answer_of_a_read_is_soon_replaced() -> None:
+def test_read_is_hedged_soon_after_lost_answer() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await connect_known(deployment, BOUNDED)
+        client = await connect_and_warm_up(deployment, BOUNDED)
         for server in deployment.group.servers.values():
             if server is not deployment.group.primary:
                 server.lost_answers = 1
@@ -95,7 +95,7 @@
     play(scenario)
 
 
-def test_write_whose_answer_is_lost_is_in_doubt_and_not_repeated() -> None:
+def test_write_with_lost_answer_is_not_repeated() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         deployment.group.primary.lost_answers = 1
@@ -106,7 +106,7 @@
     play(scenario)
 
 
-def test_read_whose_answer_is_lost_is_answered_by_another_server() -> None:
+def test_read_with_lost_answer_is_answered_by_another_server() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(BOUNDED)
         await client.ask('READ a')
@@ -124,7 +124,7 @@
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         assert (await client.ask('READ a')).is_done
-        # A second run would end later than the first.
+        # Wait for a possible second run to finish.
         await curio.sleep(2)
         assert len(deployment.group.ran) == 1
 
@@ -140,6 +140,6 @@
         for _ in range(3):
             assert (await client.ask('READ a')).is_done
         assert execution._budget.take()
-        assert execution._budget._left == RETRY_BUDGET_CAPACITY - 1
+        assert execution._budget._tokens == RETRY_BUDGET_CAPACITY - 1
 
     play(scenario, work=1.5)
--- a/deckdrum/serving/tests/test_statements.py
+++ b/deckdrum/serving/tests/test_statements.py
@@ -1,4 +1,4 @@
-"""Statements of callers through whole nodes, in virtual time."""
+"""Callers' statements, tested with complete nodes in virtual time."""
 
 from typing import Final
 
@@ -87,7 +87,7 @@
     play(scenario)
 
 
-def test_transaction_runs_on_one_connection_and_is_kept() -> None:
+def test_transaction_runs_on_one_connection_and_is_committed() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         assert (await client.ask('BEGIN')).state == 'T'
@@ -102,7 +102,7 @@
     play(scenario)
 
 
-def test_rolled_back_transaction_leaves_nothing() -> None:
+def test_rolled_back_transaction_has_no_effect() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('BEGIN')
@@ -114,7 +114,7 @@
     play(scenario)
 
 
-def test_client_that_leaves_midway_rolls_back() -> None:
+def test_transaction_of_disconnected_client_is_rolled_back() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('BEGIN')
@@ -128,7 +128,7 @@
     play(scenario)
 
 
-def test_failed_transaction_only_rolls_back() -> None:
+def test_failed_transaction_can_only_be_rolled_back() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('BEGIN')
@@ -164,26 +164,26 @@
     play(scenario)
 
 
-def test_values_follow_their_session() -> None:
+def test_session_values_apply_to_their_session_only() -> None:
     async def scenario(deployment: Deployment) -> None:
-        plain = await deployment.connect(CURRENT)
-        dressed = await deployment.connect(CURRENT)
-        await dressed.ask('SET colour red')
+        without_value = await deployment.connect(CURRENT)
+        with_value = await deployment.connect(CURRENT)
+        await with_value.ask('SET colour red')
         for _ in range(3):
-            await dressed.ask('READ a')
+            await with_value.ask('READ a')
             assert deployment.group.ran[-1].values == RED
-            await plain.ask('READ a')
+            await without_value.ask('READ a')
             assert not deployment.group.ran[-1].values
-        await dressed.ask('BEGIN')
-        await dressed.ask('READ a')
-        await dressed.ask('SET colour blue')
-        await dressed.ask('READ a')
+        await with_value.ask('BEGIN')
+        await with_value.ask('READ a')
+        await with_value.ask('SET colour blue')
+        await with_value.ask('READ a')
         assert deployment.group.ran[-1].values == BLUE
 
     play(scenario)
 
 
-def test_refused_writes_are_tried_until_the_primary_takes_them() -> None:
+def test_rejected_write_is_retried_until_accepted() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         deployment.group.primary.rejections.extend(('BUSY', 'BUSY', 'BUSY'))
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize('word', ['BUSY', 'LAGGING', 'FAILED', 'TIMEOUT'])
-def test_refused_read_is_tried_on_another_server(word: str) -> None:
+def test_rejected_read_is_retried_on_another_server(word: str) -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(BOUNDED)
         await client.ask('READ a')
@@ -206,7 +206,7 @@
     play(scenario)
 
 
-def test_transaction_that_rests_too_long_is_ended_and_told() -> None:
+def test_idle_transaction_is_aborted_and_reported() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('BEGIN')
@@ -220,7 +220,7 @@
     play(scenario)
 
 
-def test_dropped_route_is_refused_and_new_one_is_served() -> None:
+def test_removed_route_is_refused() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(BOUNDED)
         assert (await client.ask('READ a')).is_done
@@ -235,7 +235,7 @@
     play(scenario)
 
 
-def test_caller_statements_of_its_own_are_refused() -> None:
+def test_internal_commands_from_callers_are_refused() -> None:
     async def scenario(deployment: Deployment) -> None:
         for text in ('STATUS', 'PAUSE 7', 'DEMOTE 9', 'AFTER 1.1 READ a'):
             client = await deployment.connect(CURRENT)
@@ -263,7 +263,7 @@
             running.node.counters.events['primary_samples']
             for running in deployment.nodes
         )
-        # One every 0.6 s, and a few at the start.
+        # One per 0.6 s and a few at the start.
         assert sampled <= 12
 
     play(scenario, nodes=9, centres=1, settle=2.5)
@@ -282,7 +282,7 @@
     play(scenario)
 
 
-def test_overloaded_primary_does_not_draw_the_reads_of_its_replicas() -> None:
+def test_replicas_serve_reads_while_primary_is_overloaded() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(BOUNDED)
         await client.ask('READ a')
@@ -294,7 +294,7 @@
     play(scenario)
 
 
-def test_proof_comes_with_the_answers_of_replicas() -> None:
+def test_answers_of_replicas_provide_proof() -> None:
     async def scenario(deployment: Deployment) -> None:
         writer = await deployment.connect(CURRENT)
         reader = await deployment.connect(BOUNDED)
@@ -304,14 +304,14 @@
             assert (await writer.ask('WRITE a 1')).is_done
             assert (await reader.ask('READ a')).is_done
             await curio.sleep(0.1)
-        # One every 0.7 s without it.
+        # Without it there would be one per 0.7 s.
         assert events['status_questions'] - before <= 2
 
     play(scenario)
 
 
 @pytest.mark.parametrize('policy', list(Policy))
-def test_statements_are_served_without_any_one_policy(policy: Policy) -> None:
+def test_statements_are_served_with_one_policy_disabled(policy: Policy) -> None:
     async def scenario(deployment: Deployment) -> None:
         clients = [
             await deployment.connect(database, node=number)
@@ -328,11 +328,11 @@
         for client in clients:
             assert (await client.ask('READ a')).is_done
 
-    left = ALL_POLICIES - {policy}
-    play(scenario, nodes=5, policies=left, max_connections=11)
+    enabled_policies = ALL_POLICIES - {policy}
+    play(scenario, nodes=5, policies=enabled_policies, max_connections=11)
 
 
-def test_read_waits_for_a_near_replica_rather_than_go_far() -> None:
+def test_read_queues_at_local_replica() -> None:
     async def scenario(deployment: Deployment) -> None:
         first = await deployment.connect(BOUNDED, node=1)
         second = await deployment.connect(BOUNDED, node=1)
@@ -346,7 +346,7 @@
             for server in deployment.group.servers.values()
             if server.zone == ZONES[1]
         )
-        # The first ones go before the servers' times are known.
+        # The first reads run before response times have been estimated.
         readers = [ran.server for ran in deployment.group.ran]
         assert set(readers[4:]) == {near}
 
--- a/deckdrum/serving/transactions.py
+++ b/deckdrum/serving/transactions.py
@@ -1,4 +1,4 @@
-"""A caller's transaction on the one connection that it holds."""
+"""Running the statements of a caller's transaction."""
 
 import math
 from typing import Final
@@ -26,15 +26,15 @@
     Transaction,
 )
 
-#: Times the patience with a server, and least time in seconds, after which a
-#: statement of an open transaction is given up.  Nothing of it is kept, so its
-#: caller may begin anew while there is time.
+#: A statement in an open transaction times out after this multiple of the
+#: server's answer timeout, but not before the minimum.  The transaction is
+#: rolled back, so the caller can safely retry it within its own deadline.
 PINNED_TIMEOUT_FACTOR: Final = 6
 MIN_PINNED_TIMEOUT_S: Final = 0.25
 
 
 class TransactionRunner:
-    """Runs the statements of one session's transactions.
+    """Runs statements inside the transactions of one session.
 
     Parameters
     ----------
@@ -74,15 +74,15 @@
         transaction = self._state.transaction
         if transaction is not None:
             transaction.is_failed = True
-            await self.free(transaction, standing)
+            await self.release_connection(transaction, standing)
         return refuse(code, reason)
 
-    async def free(
+    async def release_connection(
         self,
         transaction: Transaction,
         standing: Standing,
     ) -> None:
-        """Give the transaction's connection back, rolled back if open."""
+        """Release the transaction's connection and roll back if it is open."""
         pin = transaction.pin
         forwarded = transaction.forwarded
         transaction.pin = None
@@ -93,7 +93,7 @@
             await forwarded.release()
 
     async def apply_value(self, operation: SetValue) -> Outcome:
-        """Give a changed value to the connection of an open transaction."""
+        """Set a changed session value on an open transaction's connection."""
         transaction = self._state.transaction
         if transaction is None:
             return Answer(standing=self._state.standing)
@@ -121,7 +121,7 @@
         transaction: Transaction,
     ) -> Outcome:
         """Open the transaction on a server with its first statement."""
-        # A new configuration may have come since BEGIN was answered.
+        # The configuration may have changed since BEGIN was answered.
         access = self._host.find_access(self._state)
         if isinstance(access, Refusal):
             return await self.fail(access.text, code=access.code)
@@ -139,7 +139,7 @@
         transaction.pin = begun.pin
         transaction.forwarded = begun.forwarded
         if isinstance(request.operation, Commit):
-            await self.free(transaction, begun.answer.standing)
+            await self.release_connection(transaction, begun.answer.standing)
         return begun.answer
 
     async def _run_forwarded(
@@ -148,7 +148,7 @@
         transaction: Transaction,
         forwarded: ForwardedTransaction,
     ) -> Outcome:
-        """Run a statement at the node that runs the transaction."""
+        """Run a statement on the node that runs the transaction."""
         is_commit = isinstance(request.operation, Commit)
         outcome = await forwarded.run(
             request,
@@ -169,23 +169,23 @@
         transaction: Transaction,
         pin: PinnedConnection,
     ) -> Outcome:
-        limit = transaction.route.statement_timeout - ANSWER_MARGIN_S
+        timeout = transaction.route.statement_timeout - ANSWER_MARGIN_S
         if Policy.LOST_ANSWERS in self._host.policies:
-            limit = min(limit, _find_patience(request, transaction, pin))
+            timeout = min(timeout, _compute_timeout(request, transaction, pin))
         sent_at = await curio.clock()
         try:
-            async with curio.timeout_after(limit):
+            async with curio.timeout_after(timeout):
                 reply = await self._send_pinned(request, pin)
         except curio.TaskTimeout:
             pin.handle.record_timeout(await curio.clock())
             return await self._fail_pinned(request, 'no answer in time')
         except ConnectionError as error:
-            pin.handle.note_failure(await curio.clock(), error)
+            pin.handle.record_failure(await curio.clock(), error)
             return await self._fail_pinned(request, repr(error))
         now = await curio.clock()
         pin.handle.record_answer(now)
         if isinstance(reply, Answer):
-            pin.handle.times.note(now - sent_at)
+            pin.handle.response_times.record(now - sent_at)
         if isinstance(reply, Rejection):
             return await self._reject_pinned(request, reply)
         if isinstance(request.operation, Commit):
@@ -214,14 +214,14 @@
         transaction: Transaction,
         pin: PinnedConnection,
     ) -> Outcome:
-        await self.free(transaction, answer.standing)
+        await self.release_connection(transaction, answer.standing)
         execution = self._host.find_execution(transaction.route.service)
         if execution is None or not transaction.has_written:
             return answer
         return await execution.confirm_change(answer, pin.term, self._state)
 
     async def _fail_pinned(self, request: Request, reason: str) -> Outcome:
-        """Answer for a statement whose connection gave no answer."""
+        """Fail the transaction after a statement that was not answered."""
         transaction = self._state.transaction
         if transaction is None or transaction.pin is None:
             return refuse(Code.TRANSACTION_LOST, reason)
@@ -232,7 +232,7 @@
         is_commit = isinstance(request.operation, Commit)
         if is_commit and transaction.has_written:
             return refuse(Code.CONNECTION_LOST, reason)
-        # Without COMMIT nothing of a transaction is kept.
+        # Without COMMIT the transaction has no effect.
         return refuse(Code.TRANSACTION_LOST, reason)
 
     async def _reject_pinned(
@@ -242,27 +242,28 @@
     ) -> Outcome:
         transaction = self._state.transaction
         is_commit = isinstance(request.operation, Commit)
-        is_known = rejection.cause.is_not_run
+        is_not_run = rejection.cause.is_not_run
         if is_commit and transaction is not None:
-            may_last = transaction.has_written and not is_known
+            may_last = transaction.has_written and not is_not_run
             if may_last and rejection.standing is not Standing.IDLE:
                 may_last = False
-            await self.free(transaction, rejection.standing)
+            await self.release_connection(transaction, rejection.standing)
             code = Code.CONNECTION_LOST if may_last else Code.TRANSACTION_LOST
             return refuse(code, rejection.text)
         return await self.fail(rejection.text, rejection.standing)
 
 
-def _find_patience(
+def _compute_timeout(
     request: Request,
     transaction: Transaction,
     pin: PinnedConnection,
 ) -> float:
-    """Return how long a statement may go without an answer, in seconds.
+    """Return the timeout of a statement in a transaction, in seconds.
 
-    The end of a transaction with changes gets all its time: it may last.
+    A COMMIT of changes has none besides the statement limit of the route: its
+    outcome is unknown without an answer.
     """
     if isinstance(request.operation, Commit) and transaction.has_written:
         return math.inf
-    patience = pin.handle.times.patience * PINNED_TIMEOUT_FACTOR
-    return max(MIN_PINNED_TIMEOUT_S, patience)
+    timeout = pin.handle.response_times.timeout * PINNED_TIMEOUT_FACTOR
+    return max(MIN_PINNED_TIMEOUT_S, timeout)
