--- a/deckdrum/control/view.py
+++ b/deckdrum/control/view.py
@@ -18,8 +18,8 @@
     DrainStatus,
     DrainTracker,
 )
+from deckdrum.control.known import RecordCache
 from deckdrum.control.log_events import build_log_event
-from deckdrum.control.record_cache import RecordCache
 from deckdrum.control.records import Configuration, Member
 from deckdrum.control.store import (
     Changes,
