--- a/deckdrum/backends/tests/test_pool.py
+++ b/deckdrum/backends/tests/test_pool.py
@@ -7,8 +7,8 @@
 from deckdrum.outcomes import Refusal
 from deckdrum.testing.pools import (
     CountedLease,
-    CountedLink,
     CountedPool,
+    StubLink,
     build_pool,
 )
 from deckdrum.utils.virtualtime import run_virtual
@@ -26,7 +26,7 @@
     return lease
 
 
-async def _use(pool: CountedPool, workspace: str | None) -> CountedLink:
+async def _use(pool: CountedPool, workspace: str | None) -> StubLink:
     lease = await _acquire(pool, workspace)
     await pool.release(lease, is_clean=True)
     return lease.link
--- a/deckdrum/bench/client.py
+++ b/deckdrum/bench/client.py
@@ -6,7 +6,7 @@
 
 from deckdrum.callers.state import SESSION
 from deckdrum.configuration import DatabaseEntry
-from deckdrum.databases import Credentials, QueryAnswer
+from deckdrum.databases import Credentials, QueryResult
 from deckdrum.databases.postgres import PostgresLink
 from deckdrum.utils import Address, dial
 
@@ -57,7 +57,7 @@
             raise
         return cls(link)
 
-    async def run(self, text: str) -> QueryAnswer:
+    async def run(self, text: str) -> QueryResult:
         """Run a simple query."""
         return await self.link.query(text)
 
--- a/deckdrum/bench/demo.py
+++ b/deckdrum/bench/demo.py
@@ -9,13 +9,13 @@
 
 from deckdrum.bench.client import Client
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.bench.experiments.failover import list_reports
-from deckdrum.bench.history import Told
+from deckdrum.bench.experiments.failover import list_failover_reports
+from deckdrum.bench.history import ReportedOutcome
 from deckdrum.bench.workload import (
     Load,
-    Pace,
+    LoadProfile,
+    compute_replica_share,
     create_table,
-    read_replica_share,
     read_rows,
 )
 from deckdrum.failover import FailoverReport
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Account:
+class DemoReport:
     """What the demonstration found; lines to print and failures."""
 
     lines: list[str] = field(default_factory=list)
@@ -45,13 +45,13 @@
             self.failures.append(text)
 
 
-async def run_demo() -> Account:
+async def run_demo() -> DemoReport:
     """Run the demonstration in the present kernel."""
-    account = Account()
+    account = DemoReport()
     deployment = Deployment(Layout())
     await deployment.start()
     await create_table(deployment, _SERVICE)
-    load = Load(deployment, Pace(), Random(1))
+    load = Load(deployment, LoadProfile(), Random(1))
     await load.start(_CALLERS)
     await curio.sleep(_LOAD_SECONDS)
     await _show_configuration(deployment, account)
@@ -65,7 +65,7 @@
 
 async def _show_configuration(
     deployment: Deployment,
-    account: Account,
+    account: DemoReport,
 ) -> None:
     text = deployment.describe().replace('max_age: 5', 'max_age: 4')
     applied_at = await curio.clock()
@@ -80,7 +80,7 @@
         )
 
 
-async def _show_failover(deployment: Deployment, account: Account) -> None:
+async def _show_failover(deployment: Deployment, account: DemoReport) -> None:
     primary = deployment.find_primary(_SERVICE)
     killed_at = await curio.clock()
     await primary.crash()
@@ -93,14 +93,14 @@
         f'{primary.name} killed; writes accepted again after {gap:.3f} s',
         gap < _FAILOVER_LIMIT,
     )
-    _show_phases(list_reports(deployment), killed_at, account)
+    _show_phases(list_failover_reports(deployment), killed_at, account)
     await primary.start()
 
 
 def _show_phases(
     reports: list[FailoverReport],
     killed_at: float,
-    account: Account,
+    account: DemoReport,
 ) -> None:
     account.tell(f'failovers driven: {len(reports)}', len(reports) == 1)
     for report in reports:
@@ -117,22 +117,22 @@
 def _show_history(
     deployment: Deployment,
     load: Load,
-    account: Account,
+    account: DemoReport,
 ) -> None:
     history = load.history
     broken = history.check_rows(read_rows(deployment, _SERVICE))
     account.tell(
-        f'writes: {history.count(Told.DONE)} acknowledged, '
-        f'{history.count(Told.NOT_RUN)} not run, '
-        f'{history.count(Told.UNKNOWN)} unknown',
-        history.count(Told.DONE) > 0,
+        f'writes: {history.count(ReportedOutcome.DONE)} acknowledged, '
+        f'{history.count(ReportedOutcome.NOT_RUN)} not run, '
+        f'{history.count(ReportedOutcome.UNKNOWN)} unknown',
+        history.count(ReportedOutcome.DONE) > 0,
     )
     account.tell(
         f'read-your-write checks across proxies: {history.checks} '
         f'in {history.reads} reads, {len(history.violations)} wrong',
         history.checks > 0 and not history.violations,
     )
-    share = read_replica_share(deployment)
+    share = compute_replica_share(deployment)
     account.tell(
         f'reads served by replicas: {share * _PERCENT:.1f} %',
         share >= _REPLICA_SHARE,
--- a/deckdrum/bench/deployment.py
+++ b/deckdrum/bench/deployment.py
@@ -19,7 +19,7 @@
     ConfigurationRecord,
 )
 from deckdrum.utils import Address, Journal
-from deckdrum.utils.journal import silent_journal
+from deckdrum.utils.journal import open_null_journal
 
 _HOST: Final = '127.0.0.1'
 _SALT: Final = b'0123456789abcdef'
@@ -65,7 +65,7 @@
     """
 
     layout: Layout
-    journal: Journal = field(default_factory=lambda: silent_journal('bench'))
+    journal: Journal = field(default_factory=lambda: open_null_journal('bench'))
     platform: StandinPlatform = field(init=False)
     databases: dict[str, StandinDatabase] = field(default_factory=dict)
     proxies: dict[str, Proxy] = field(default_factory=dict)
--- a/deckdrum/bench/experiments/base.py
+++ b/deckdrum/bench/experiments/base.py
@@ -13,7 +13,7 @@
 _MICROSECONDS: Final = 1_000_000
 
 
-class Side(StrEnum):
+class BoundKind(StrEnum):
     """On which side of its bound a figure must lie."""
 
     AT_MOST = '<='
@@ -41,16 +41,16 @@
     name: str
     measured: float
     unit: str = ''
-    side: Side | None = None
+    side: BoundKind | None = None
     bound: float = 0
     naive: float | None = None
 
     @property
     def is_met(self) -> bool:
         """Whether the figure keeps its bound."""
-        if self.side is Side.AT_MOST:
+        if self.side is BoundKind.AT_MOST:
             return self.measured <= self.bound
-        if self.side is Side.AT_LEAST:
+        if self.side is BoundKind.AT_LEAST:
             return self.measured >= self.bound
         return True
 
@@ -81,7 +81,7 @@
     ) -> None:
         """Note a figure that must not pass its bound."""
         self.figures.append(
-            Figure(name, measured, unit, Side.AT_MOST, bound, naive),
+            Figure(name, measured, unit, BoundKind.AT_MOST, bound, naive),
         )
 
     def at_least(
@@ -94,7 +94,7 @@
     ) -> None:
         """Note a figure that must reach its bound."""
         self.figures.append(
-            Figure(name, measured, unit, Side.AT_LEAST, bound, naive),
+            Figure(name, measured, unit, BoundKind.AT_LEAST, bound, naive),
         )
 
     def extend(self, prefix: str, figures: Iterable[Figure]) -> None:
@@ -112,12 +112,12 @@
             )
 
 
-class Times:
+class DurationHistogram:
     """A histogram of durations in seconds.
 
     Examples
     --------
-    >>> times = Times()
+    >>> times = DurationHistogram()
     >>> for number in range(1, 101):
     ...     times.add(number / 1000)
     >>> round(times.percentile(50), 3)
@@ -136,7 +136,7 @@
         """Record a duration."""
         self._histogram.record_value(max(1, round(seconds * _MICROSECONDS)))
 
-    def merge(self, other: 'Times') -> None:
+    def merge(self, other: 'DurationHistogram') -> None:
         """Take over the durations of `other`."""
         self._histogram.add(other._histogram)
 
@@ -156,14 +156,14 @@
     #: Name on the command line.
     name: str
     #: One line about it.
-    about: str
+    summary: str
 
     @abstractmethod
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
 
 
-def describe_table(name: str, figures: Sequence[Figure]) -> list[str]:
+def format_figures(name: str, figures: Sequence[Figure]) -> list[str]:
     """Return a table of figures beside their bounds and naive baselines."""
     lines = [name]
     for each in figures:
--- a/deckdrum/bench/experiments/failover.py
+++ b/deckdrum/bench/experiments/failover.py
@@ -10,8 +10,16 @@
 import curio
 
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.bench.experiments.base import Experiment, Findings, Times
-from deckdrum.bench.history import History, Told, read_told
+from deckdrum.bench.experiments.base import (
+    DurationHistogram,
+    Experiment,
+    Findings,
+)
+from deckdrum.bench.history import (
+    History,
+    ReportedOutcome,
+    parse_reported_outcome,
+)
 from deckdrum.bench.layouts import BUOY, MARKET
 from deckdrum.bench.workload import create_table, read_rows
 from deckdrum.failover import FailoverReport
@@ -37,7 +45,7 @@
 
 
 @dataclass(slots=True)
-class Scene:
+class FailoverScenario:
     """One deployment in which a primary will be lost."""
 
     deployment: Deployment
@@ -55,17 +63,17 @@
         return rank_keepers(self.service, self.deployment.proxies)[0]
 
 
-async def kill(scene: Scene) -> None:
+async def kill(scene: FailoverScenario) -> None:
     """Kill the primary."""
     await scene.primary.crash()
 
 
-async def pause(scene: Scene) -> None:
+async def pause(scene: FailoverScenario) -> None:
     """Pause the primary: connections stay open, nothing is answered."""
     scene.primary.faults.paused = True
 
 
-async def cut_off(scene: Scene) -> None:
+async def cut_off(scene: FailoverScenario) -> None:
     """Cut the primary off, together with the proxy that keeps it."""
     primary = scene.primary
     others = {
@@ -80,14 +88,16 @@
         faults.cut_from.add(scene.keeper)
 
 
-async def kill_twice(scene: Scene) -> None:
+async def kill_primary_and_successor(scene: FailoverScenario) -> None:
     """Kill the primary, and its successor as soon as there is one."""
     first = scene.primary
     await first.crash()
     await curio.spawn(_kill_successor, scene, first, daemon=True)
 
 
-async def _kill_successor(scene: Scene, first: StandinDatabase) -> None:
+async def _kill_successor(
+    scene: FailoverScenario, first: StandinDatabase
+) -> None:
     while scene.primary is first:
         await curio.sleep(_WRITE_PAUSE)
     second = scene.primary
@@ -95,7 +105,7 @@
     await first.start()
 
 
-async def kill_driver_too(scene: Scene) -> None:
+async def kill_primary_and_driver(scene: FailoverScenario) -> None:
     """Kill the primary and then the proxy that drives the failover."""
     driver = scene.deployment.proxies.pop(scene.keeper)
     await scene.primary.crash()
@@ -107,36 +117,36 @@
     await driver.close()
 
 
-async def kill_with_slow_store(scene: Scene) -> None:
+async def kill_with_slow_store(scene: FailoverScenario) -> None:
     """Kill the primary while the platform takes a second for each call."""
     scene.deployment.platform.faults.delay = _SLOW_STORE
     await scene.primary.crash()
 
 
-_Cause = Callable[[Scene], Awaitable[None]]
-LOSSES: Final[Mapping[str, _Cause]] = MappingProxyType(
+_Cause = Callable[[FailoverScenario], Awaitable[None]]
+PRIMARY_FAULTS: Final[Mapping[str, _Cause]] = MappingProxyType(
     {
         'killed': kill,
         'paused': pause,
         'cut off with its keeper': cut_off,
-        'killed, successor too': kill_twice,
-        'killed, driver too': kill_driver_too,
+        'killed, successor too': kill_primary_and_successor,
+        'killed, driver too': kill_primary_and_driver,
         'killed, platform slow': kill_with_slow_store,
     }
 )
 
 
-async def bad_link(scene: Scene) -> None:
+async def cut_keeper_link(scene: FailoverScenario) -> None:
     """Cut only the keeper from the primary."""
     scene.primary.faults.cut_from.add(scene.keeper)
 
 
-async def lose_probes(scene: Scene) -> None:
+async def drop_probes(scene: FailoverScenario) -> None:
     """Stall the keeper's link to the primary for a tenth of the time."""
     await curio.spawn(_stall_often, scene, daemon=True)
 
 
-async def _stall_often(scene: Scene) -> None:
+async def _stall_often(scene: FailoverScenario) -> None:
     faults = scene.primary.faults
     while True:
         await curio.sleep(scene.randomness.random())
@@ -145,10 +155,10 @@
         faults.cut_from.discard(scene.keeper)
 
 
-NUISANCES: Final[Mapping[str, _Cause]] = MappingProxyType(
+LINK_FAULTS: Final[Mapping[str, _Cause]] = MappingProxyType(
     {
-        'one bad link': bad_link,
-        'a tenth of the probes lost': lose_probes,
+        'one bad link': cut_keeper_link,
+        'a tenth of the probes lost': drop_probes,
     }
 )
 
@@ -156,7 +166,7 @@
 class Writers:
     """Callers that write without pause and note when a write is done."""
 
-    def __init__(self, scene: Scene, history: History) -> None:
+    def __init__(self, scene: FailoverScenario, history: History) -> None:
         self._scene = scene
         self._history = history
         self._number = 0
@@ -188,13 +198,13 @@
         while not self.is_over:
             self._number += 1
             number = self._number
-            self._history.note_write(number, Told.UNKNOWN)
+            self._history.record_write(number, ReportedOutcome.UNKNOWN)
             answer = await client.run(
                 f"INSERT INTO bookings VALUES ({number}, 'w')",
             )
-            told = read_told(answer)
-            self._history.note_write(number, told)
-            if told is Told.DONE:
+            told = parse_reported_outcome(answer)
+            self._history.record_write(number, told)
+            if told is ReportedOutcome.DONE:
                 self.done_at.append(await curio.clock())
             await curio.sleep(_WRITE_PAUSE)
         await client.close()
@@ -210,7 +220,7 @@
     promotions: int
 
 
-async def lose(
+async def measure_failover(
     layout: Layout,
     seed: int,
     cause: _Cause,
@@ -221,7 +231,7 @@
     await deployment.start()
     service = layout.services[0]
     await create_table(deployment, service, layout.groups[0])
-    scene = Scene(deployment, service, Random(seed))
+    scene = FailoverScenario(deployment, service, Random(seed))
     history = History()
     writers = Writers(scene, history)
     await writers.start()
@@ -240,7 +250,7 @@
     loss = Loss(
         gap,
         len(broken),
-        list_reports(deployment),
+        list_failover_reports(deployment),
         _read_term(deployment, service) - term,
     )
     await deployment.close()
@@ -248,7 +258,7 @@
 
 
 async def _wait_writable(
-    scene: Scene,
+    scene: FailoverScenario,
     writers: Writers,
     began: float,
     term: int,
@@ -275,11 +285,11 @@
     return int(deployment.platform.read_object(path)['term'])
 
 
-def list_reports(deployment: Deployment) -> list[FailoverReport]:
+def list_failover_reports(deployment: Deployment) -> list[FailoverReport]:
     """Return the reports of every proxy."""
     found: list[FailoverReport] = []
     for proxy in deployment.proxies.values():
-        for keeper in proxy.keeping.keepers.values():
+        for keeper in proxy.keeper_manager.keepers.values():
             found.extend(keeper.supervisor.reports)
     return found
 
@@ -288,15 +298,15 @@
     """Time until writes are accepted again, and promotions without need."""
 
     name = 'failover-gap'
-    about = 'time from losing a primary until writes are accepted again'
+    summary = 'time from losing a primary until writes are accepted again'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
         findings = Findings()
-        gaps = Times()
+        gaps = DurationHistogram()
         broken = 0
         for place, layout in (('market', MARKET), ('buoy', BUOY)):
-            for name, cause in LOSSES.items():
+            for name, cause in PRIMARY_FAULTS.items():
                 times, wrong = await self._repeat(layout, seed, cause)
                 gaps.merge(times)
                 broken += wrong
@@ -307,8 +317,8 @@
                     's',
                 )
         self._note_all(findings, gaps, broken)
-        for name, cause in NUISANCES.items():
-            loss = await lose(MARKET, seed, cause, False)
+        for name, cause in LINK_FAULTS.items():
+            loss = await measure_failover(MARKET, seed, cause, False)
             findings.at_most(f'{name}: promotions', loss.promotions, 0)
             findings.at_most(f'{name}: broken promises', loss.broken, 0)
         return findings
@@ -318,11 +328,11 @@
         layout: Layout,
         seed: int,
         cause: _Cause,
-    ) -> tuple[Times, int]:
-        times = Times()
+    ) -> tuple[DurationHistogram, int]:
+        times = DurationHistogram()
         broken = 0
         for turn in range(_SEEDS):
-            loss = await lose(layout, seed + turn, cause, True)
+            loss = await measure_failover(layout, seed + turn, cause, True)
             times.add(loss.gap)
             broken += loss.broken
         return times, broken
@@ -330,7 +340,7 @@
     def _note_all(
         self,
         findings: Findings,
-        gaps: Times,
+        gaps: DurationHistogram,
         broken: int,
     ) -> None:
         median, tail = gaps.percentile(_MEDIAN), gaps.percentile(_TAIL)
--- a/deckdrum/bench/experiments/outages.py
+++ b/deckdrum/bench/experiments/outages.py
@@ -9,9 +9,9 @@
 
 from deckdrum.bench.deployment import Deployment
 from deckdrum.bench.experiments.base import Experiment, Findings
-from deckdrum.bench.history import Told
+from deckdrum.bench.history import ReportedOutcome
 from deckdrum.bench.layouts import MARKET
-from deckdrum.bench.workload import Load, Pace, create_table, read_rows
+from deckdrum.bench.workload import Load, LoadProfile, create_table, read_rows
 from deckdrum.configuration.applying import (
     ApplyOutcome,
     ConfigurationSnapshot,
@@ -28,7 +28,7 @@
 _LOAD_SECONDS: Final = 4.0
 _SLOW: Final = 1.5
 _PAUSE: Final = 0.2
-_PACE: Final = Pace(pause=_PAUSE)
+_PACE: Final = LoadProfile(pause=_PAUSE)
 #: Number of the proxy that starts in the outage.
 _LATE: Final = 20
 _CALLERS: Final = 4
@@ -50,7 +50,7 @@
 async def _load_for(deployment: Deployment, seed: int) -> list[str]:
     """Run a load for a while; return what was broken."""
     load = Load(deployment, _PACE, Random(seed))
-    load.start_numbers(await _count_rows(deployment))
+    load.set_first_write_number(await _count_rows(deployment))
     await load.start(_CALLERS)
     await curio.sleep(_LOAD_SECONDS)
     history = await load.finish()
@@ -58,7 +58,9 @@
         row for row in read_rows(deployment, _SERVICE) if row in history.writes
     ]
     broken = history.check_rows(rows)
-    refused = history.count(Told.NOT_RUN) + history.count(Told.UNKNOWN)
+    refused = history.count(ReportedOutcome.NOT_RUN) + history.count(
+        ReportedOutcome.UNKNOWN
+    )
     return broken + ['refused' for _ in range(refused)]
 
 
@@ -70,7 +72,7 @@
     """Ten minutes without the platform, and ten with a slow one."""
 
     name = 'store-outage'
-    about = 'the platform down for ten minutes, then slow for ten'
+    summary = 'the platform down for ten minutes, then slow for ten'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
@@ -163,7 +165,7 @@
     """Operators who race, lost answers, and applies at bad moments."""
 
     name = 'config-races'
-    about = 'racing operators, lost answers, applies in a failover'
+    summary = 'racing operators, lost answers, applies in a failover'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
--- a/deckdrum/bench/experiments/outcomes.py
+++ b/deckdrum/bench/experiments/outcomes.py
@@ -11,7 +11,11 @@
 from deckdrum.bench.client import Client
 from deckdrum.bench.deployment import Deployment
 from deckdrum.bench.experiments.base import Experiment, Findings
-from deckdrum.bench.history import History, Told, read_told
+from deckdrum.bench.history import (
+    History,
+    ReportedOutcome,
+    parse_reported_outcome,
+)
 from deckdrum.bench.layouts import MARKET
 from deckdrum.bench.workload import create_table, read_rows
 from deckdrum.fleet.membership import rank_keepers
@@ -26,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Cut:
+class FaultTarget:
     """A deployment whose next request will be cut."""
 
     deployment: Deployment
@@ -37,7 +41,7 @@
         return rank_keepers(_SERVICE, self.deployment.proxies)[0]
 
 
-async def crash_database(cut: Cut) -> None:
+async def crash_database(cut: FaultTarget) -> None:
     """Crash the primary, and start it again later."""
     primary = cut.deployment.find_primary(_SERVICE)
     await primary.crash()
@@ -45,7 +49,7 @@
     await primary.start()
 
 
-async def pause_database(cut: Cut) -> None:
+async def pause_database(cut: FaultTarget) -> None:
     """Pause the primary for a while."""
     primary = cut.deployment.find_primary(_SERVICE)
     primary.faults.paused = True
@@ -53,7 +57,7 @@
     primary.faults.paused = False
 
 
-async def cut_link(cut: Cut) -> None:
+async def cut_link(cut: FaultTarget) -> None:
     """Cut the keeper from the primary for a while."""
     faults = cut.deployment.find_primary(_SERVICE).faults
     keeper = cut.keeper
@@ -62,21 +66,21 @@
     faults.cut_from.discard(keeper)
 
 
-async def kill_keeper(cut: Cut) -> None:
+async def kill_keeper(cut: FaultTarget) -> None:
     """Kill the proxy that keeps the service."""
     proxy = cut.deployment.proxies.pop(cut.keeper)
     await proxy.close()
 
 
-async def kill_entry(cut: Cut) -> None:
+async def kill_entry(cut: FaultTarget) -> None:
     """Kill a proxy to which callers are connected."""
     names = sorted(cut.deployment.proxies.keys() - {cut.keeper})
     proxy = cut.deployment.proxies.pop(names[0])
     await proxy.close()
 
 
-_Cutting = Callable[[Cut], Awaitable[None]]
-CUTS: Final[Mapping[str, _Cutting]] = MappingProxyType(
+_Cutting = Callable[[FaultTarget], Awaitable[None]]
+REQUEST_FAULTS: Final[Mapping[str, _Cutting]] = MappingProxyType(
     {
         'database crashes': crash_database,
         'database pauses': pause_database,
@@ -87,7 +91,7 @@
 )
 
 
-async def cut_at(
+async def run_with_fault(
     cause: _Cutting,
     moment: float,
     is_once: bool,
@@ -114,7 +118,7 @@
         for number, client in enumerate(clients):
             await tasks.spawn(_write, client, number, history)
         await curio.sleep(moment)
-        await cause(Cut(deployment))
+        await cause(FaultTarget(deployment))
         await curio.sleep(_SETTLE)
     broken = history.check_rows(read_rows(deployment, _SERVICE))
     await deployment.close()
@@ -122,13 +126,13 @@
 
 
 async def _write(client: Client, number: int, history: History) -> None:
-    history.note_write(number, Told.UNKNOWN)
+    history.record_write(number, ReportedOutcome.UNKNOWN)
     insert = f"INSERT INTO bookings VALUES ({number}, 'w')"
     try:
         answer = await client.run(insert)
     except ConnectionError:
         return
-    history.note_write(number, read_told(answer))
+    history.record_write(number, parse_reported_outcome(answer))
     await client.close()
 
 
@@ -136,12 +140,12 @@
     """Every cause at every step, repeatable or not."""
 
     name = 'outcomes'
-    about = 'requests cut at every step: is what callers are told true?'
+    summary = 'requests cut at every step: is what callers are told true?'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
         findings = Findings()
-        for name, cause in CUTS.items():
+        for name, cause in REQUEST_FAULTS.items():
             for is_once in (False, True):
                 kind = 'once' if is_once else 'repeatable'
                 found = await self._run_steps(cause, is_once, seed)
@@ -154,14 +158,16 @@
         is_once: bool,
         seed: int,
     ) -> Findings:
-        told: Counter[Told] = Counter()
+        told: Counter[ReportedOutcome] = Counter()
         broken = 0
         for step in range(_STEPS):
-            history, wrong = await cut_at(cause, step * _STEP, is_once, seed)
+            history, wrong = await run_with_fault(
+                cause, step * _STEP, is_once, seed
+            )
             told.update(history.writes.values())
             broken += len(wrong)
         found = Findings()
         found.at_most('untrue', broken, 0)
-        for each in Told:
+        for each in ReportedOutcome:
             found.note(each.value, told[each])
         return found
--- a/deckdrum/bench/experiments/reads.py
+++ b/deckdrum/bench/experiments/reads.py
@@ -9,18 +9,18 @@
 from deckdrum.bench.client import Client
 from deckdrum.bench.deployment import Deployment, Layout
 from deckdrum.bench.experiments.base import (
+    DurationHistogram,
     Experiment,
     Figure,
     Findings,
-    Times,
 )
 from deckdrum.bench.layouts import BUOY, MARKET
-from deckdrum.bench.policies import (
+from deckdrum.bench.routers import (
     PrimaryRouter,
     RotatingRouter,
     install_router,
 )
-from deckdrum.bench.workload import read_replica_share
+from deckdrum.bench.workload import compute_replica_share
 from deckdrum.keepers.routing import Router
 
 _SECONDS: Final = 6
@@ -38,13 +38,13 @@
 
 
 @dataclass(slots=True)
-class Truth:
+class AcknowledgedWrites:
     """What has been acknowledged, and when; the judge of reads."""
 
     acknowledged: list[tuple[float, int]] = field(default_factory=list)
     wrong: int = 0
 
-    def highest_before(self, moment: float) -> int:
+    def highest_acknowledged_before(self, moment: float) -> int:
         """Return the highest number acknowledged before a moment."""
         return max(
             (number for at, number in self.acknowledged if at < moment),
@@ -59,8 +59,8 @@
     deployment: Deployment
     service: str
     randomness: Random
-    truth: Truth = field(default_factory=Truth)
-    current_times: Times = field(default_factory=Times)
+    truth: AcknowledgedWrites = field(default_factory=AcknowledgedWrites)
+    current_times: DurationHistogram = field(default_factory=DurationHistogram)
     is_over: bool = False
     _number: int = 0
 
@@ -111,7 +111,7 @@
             if not max_age:
                 self.current_times.add(await curio.clock() - began)
             highest = int(answer.rows[0][0] or 0)
-            expected = self.truth.highest_before(began - max_age)
+            expected = self.truth.highest_acknowledged_before(began - max_age)
             if highest < max(seen, expected):
                 self.truth.wrong += 1
             seen = highest
@@ -143,7 +143,7 @@
     """Share of reads on replicas, and whether any was wrong."""
 
     name = 'replica-reads'
-    about = 'share of reads served by replicas while they lag'
+    summary = 'share of reads served by replicas while they lag'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
@@ -170,9 +170,9 @@
         _, naive = await _measure(layout, seed, lags, RotatingRouter)
         alone, _ = await _measure(layout, seed, lags, PrimaryRouter)
         found = Findings()
-        baseline = read_replica_share(alone)
+        baseline = compute_replica_share(alone)
         for access, bound in zip(('aged', 'current'), shares, strict=True):
-            share = read_replica_share(deployment, (access,))
+            share = compute_replica_share(deployment, (access,))
             found.at_least(f'{access} on replicas', share, bound, '', baseline)
         found.at_most('wrong reads', load.truth.wrong, 0, '', naive.truth.wrong)
         trips = _ROUND_TRIPS * layout.hop_latency * 2
--- a/deckdrum/bench/experiments/rolling.py
+++ b/deckdrum/bench/experiments/rolling.py
@@ -8,19 +8,19 @@
 
 from deckdrum.bench.deployment import Deployment
 from deckdrum.bench.experiments.base import Experiment, Findings
-from deckdrum.bench.history import History, Told
+from deckdrum.bench.history import History, ReportedOutcome
 from deckdrum.bench.layouts import MARKET
-from deckdrum.bench.workload import Load, Pace, create_table, read_rows
+from deckdrum.bench.workload import Load, LoadProfile, create_table, read_rows
 
 _SERVICE: Final = 'stalls'
 _CALLERS: Final = 6
-_PACE: Final = Pace(pause=0.1)
+_PACE: Final = LoadProfile(pause=0.1)
 _PAUSE: Final = 0.5
 _LOOK: Final = 0.02
 
 
 @dataclass(slots=True)
-class Replacement:
+class ProxyReplacer:
     """Replaces proxies and watches connection limits meanwhile."""
 
     deployment: Deployment
@@ -55,7 +55,7 @@
     """All proxies one after the other, then half of them at once."""
 
     name = 'rolling-replacement'
-    about = 'all proxies replaced under load, then half at once'
+    summary = 'all proxies replaced under load, then half at once'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
@@ -66,7 +66,7 @@
         await create_table(deployment, _SERVICE)
         load = Load(deployment, _PACE, Random(seed))
         await load.start(_CALLERS)
-        replacement = Replacement(deployment)
+        replacement = ProxyReplacer(deployment)
         watching: Any = await curio.spawn(replacement.watch_limits)
         for name in list(deployment.proxies):
             await replacement.replace([name])
@@ -84,15 +84,19 @@
     def _judge(
         self,
         findings: Findings,
-        replacement: Replacement,
+        replacement: ProxyReplacer,
         history: History,
     ) -> None:
         rows = read_rows(replacement.deployment, _SERVICE)
         broken = history.check_rows(rows)
         findings.at_most('promises broken', len(broken), 0)
-        findings.at_most('writes unknown', history.count(Told.UNKNOWN), 0)
-        findings.note('writes acknowledged', history.count(Told.DONE))
-        findings.note('writes not run', history.count(Told.NOT_RUN))
+        findings.at_most(
+            'writes unknown', history.count(ReportedOutcome.UNKNOWN), 0
+        )
+        findings.note(
+            'writes acknowledged', history.count(ReportedOutcome.DONE)
+        )
+        findings.note('writes not run', history.count(ReportedOutcome.NOT_RUN))
         undrained = replacement.drained.count(False)
         findings.at_most('proxies that did not drain', undrained, 0)
         findings.note('proxies replaced', len(replacement.drained))
--- a/deckdrum/bench/experiments/shares.py
+++ b/deckdrum/bench/experiments/shares.py
@@ -7,7 +7,11 @@
 import curio
 
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.bench.experiments.base import Experiment, Findings, Times
+from deckdrum.bench.experiments.base import (
+    DurationHistogram,
+    Experiment,
+    Findings,
+)
 from deckdrum.bench.layouts import MARKET
 from deckdrum.bench.loads import GroupLoad, Tally
 from deckdrum.bench.workload import create_table
@@ -81,7 +85,7 @@
     """What a quiet group notices while another bursts."""
 
     name = 'fair-share'
-    about = 'one group bursts; the other keeps its speed and its share'
+    summary = 'one group bursts; the other keeps its speed and its share'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
@@ -119,11 +123,11 @@
     load = GroupLoad(deployment, 'growers', _STATEMENT, 0)
     await load.start(_BURST_CALLERS)
     await curio.sleep(2)
-    used = Times()
+    used = DurationHistogram()
     queues = [
         keeper.pools[deployment.find_primary(_SERVICE).name].queue
         for proxy in deployment.proxies.values()
-        for keeper in proxy.keeping.keepers.values()
+        for keeper in proxy.keeper_manager.keepers.values()
         if keeper.sessions
     ]
     for _ in range(_LOOKS):
@@ -150,6 +154,6 @@
 
 def _install_one_line(deployment: Deployment) -> None:
     for proxy in deployment.proxies.values():
-        for keeper in proxy.keeping.keepers.values():
+        for keeper in proxy.keeper_manager.keepers.values():
             for pool in keeper.pools.values():
                 pool.queue = _OneLine(pool.queue.slots, {})
--- a/deckdrum/bench/experiments/storms.py
+++ b/deckdrum/bench/experiments/storms.py
@@ -28,7 +28,7 @@
     """Goodput when the load doubles and when databases slow down."""
 
     name = 'retry-storm'
-    about = 'twice the load, databases slow by ten times, then well again'
+    summary = 'twice the load, databases slow by ten times, then well again'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
--- a/deckdrum/bench/history.py
+++ b/deckdrum/bench/history.py
@@ -10,10 +10,10 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from deckdrum.databases import QueryAnswer
+from deckdrum.databases import QueryResult
 
 
-class Told(StrEnum):
+class ReportedOutcome(StrEnum):
     """What a caller was told of a write."""
 
     DONE = 'done'
@@ -21,23 +21,23 @@
     UNKNOWN = 'unknown'
 
 
-def read_told(answer: QueryAnswer) -> Told:
+def parse_reported_outcome(answer: QueryResult) -> ReportedOutcome:
     """Return what an answer says of the request.
 
     An error of the database itself counts as not run.
 
     Examples
     --------
-    >>> read_told(QueryAnswer()).value
+    >>> parse_reported_outcome(QueryResult()).value
     'done'
-    >>> read_told(QueryAnswer((), '23505', 'exists')).value
+    >>> parse_reported_outcome(QueryResult((), '23505', 'exists')).value
     'not run'
     """
     if not answer.sqlstate:
-        return Told.DONE
+        return ReportedOutcome.DONE
     if answer.detail.startswith('{'):
-        return Told(json.loads(answer.detail)['outcome'])
-    return Told.NOT_RUN
+        return ReportedOutcome(json.loads(answer.detail)['outcome'])
+    return ReportedOutcome.NOT_RUN
 
 
 @dataclass(slots=True)
@@ -52,20 +52,20 @@
         What broke a promise while the load ran.
     """
 
-    writes: dict[int, Told] = field(default_factory=dict)
+    writes: dict[int, ReportedOutcome] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     reads: int = 0
     checks: int = 0
 
-    def note_write(self, number: int, told: Told) -> None:
+    def record_write(self, number: int, told: ReportedOutcome) -> None:
         """Note what became of a write."""
         self.writes[number] = told
 
-    def note_violation(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Note a broken promise."""
         self.violations.append(text)
 
-    def count(self, told: Told) -> int:
+    def count(self, told: ReportedOutcome) -> int:
         """Return the writes of which callers were told `told`."""
         return sum(each is told for each in self.writes.values())
 
@@ -91,13 +91,15 @@
         return found
 
 
-def _judge(number: int, told: Told, counts: Mapping[int, int]) -> list[str]:
+def _judge(
+    number: int, told: ReportedOutcome, counts: Mapping[int, int]
+) -> list[str]:
     count = counts[number]
     found = []
     if count > 1:
         found.append(f'write {number} was doubled')
-    if told is Told.DONE and count == 0:
+    if told is ReportedOutcome.DONE and count == 0:
         found.append(f'acknowledged write {number} was lost')
-    if told is Told.NOT_RUN and count:
+    if told is ReportedOutcome.NOT_RUN and count:
         found.append(f'write {number} was told not run, and ran')
     return found
--- a/deckdrum/bench/loads.py
+++ b/deckdrum/bench/loads.py
@@ -7,8 +7,8 @@
 import curio
 
 from deckdrum.bench.deployment import Deployment
-from deckdrum.bench.experiments.base import Times
-from deckdrum.databases import QueryAnswer
+from deckdrum.bench.experiments.base import DurationHistogram
+from deckdrum.databases import QueryResult
 
 _SERVICE: Final = 'stalls'
 #: Pause after a refusal that advises none, in seconds.
@@ -19,7 +19,7 @@
 class Tally:
     """What one group got: times and moments of answers, and refusals."""
 
-    times: Times = field(default_factory=Times)
+    times: DurationHistogram = field(default_factory=DurationHistogram)
     done_at: list[float] = field(default_factory=list)
     refused: int = 0
     longest: float = 0
@@ -67,7 +67,7 @@
             await curio.sleep(rest)
         await client.close()
 
-    def _note(self, answer: QueryAnswer, began: float, now: float) -> float:
+    def _note(self, answer: QueryResult, began: float, now: float) -> float:
         """Note an answer; return how long to rest."""
         tally = self.tally
         tally.longest = max(tally.longest, now - began)
--- a/deckdrum/bench/relay.py
+++ b/deckdrum/bench/relay.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class PathFigures:
     """Figures of one way to the database; times in microseconds."""
 
     statements_a_second: float
@@ -62,7 +62,7 @@
     through = await deployment.connect('p1')
     await straight.run('SELECT 1')
     await through.run('SELECT 1')
-    ways: dict[str, list[Way]] = {'straight': [], 'through': []}
+    ways: dict[str, list[PathFigures]] = {'straight': [], 'through': []}
     for _ in range(_ROUNDS):
         ways['straight'].append(await _measure(straight))
         ways['through'].append(await _measure(through))
@@ -86,7 +86,7 @@
     return await Client.connect(database.address, credentials)
 
 
-async def _measure(client: Client) -> Way:
+async def _measure(client: Client) -> PathFigures:
     times = HdrHistogram(1, _LONGEST_MICROSECONDS, _DIGITS)
     began = time.perf_counter()
     for _ in range(_STATEMENTS):
@@ -95,14 +95,14 @@
         passed = time.perf_counter() - sent
         times.record_value(round(passed * _MICROSECONDS))
     whole = time.perf_counter() - began
-    return Way(
+    return PathFigures(
         _STATEMENTS / whole,
         times.get_value_at_percentile(_MEDIAN),
         times.get_value_at_percentile(_TAIL),
     )
 
 
-def _pick_middle(ways: list[Way]) -> Way:
+def _pick_middle(ways: list[PathFigures]) -> PathFigures:
     ranked = sorted(ways, key=lambda way: way.statements_a_second)
     return ranked[len(ranked) // 2]
 
--- a/deckdrum/bench/policies.py
+++ b/deckdrum/bench/routers.py
@@ -47,7 +47,7 @@
 def install_router(deployment: Deployment, router_type: type[Router]) -> None:
     """Have every keeper of a deployment route by another policy."""
     for proxy in deployment.proxies.values():
-        for keeper in proxy.keeping.keepers.values():
+        for keeper in proxy.keeper_manager.keepers.values():
             keeper.router = _make_router(keeper, router_type)
 
 
--- a/deckdrum/bench/runner.py
+++ b/deckdrum/bench/runner.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from deckdrum.bench.experiments import Experiment, Figure
-from deckdrum.bench.experiments.base import describe_table
+from deckdrum.bench.experiments.base import format_figures
 from deckdrum.bench.experiments.failover import FailoverGap
 from deckdrum.bench.experiments.outages import ConfigRaces, StoreOutage
 from deckdrum.bench.experiments.outcomes import Outcomes
@@ -19,10 +19,10 @@
 from deckdrum.utils.virtualtime import run_virtual
 
 #: How far a figure may be from the baseline, as a share of it.
-TOLERANCE: Final = 0.25
+TOLERANCE_FRACTION: Final = 0.25
 #: Differences below this never count (rounding of tiny figures).
 _LEAST: Final = 0.005
-BASELINE: Final = Path(__file__).parent / 'baseline.json'
+BASELINE_PATH: Final = Path(__file__).parent / 'baseline.json'
 _ALL: Final[tuple[Experiment, ...]] = (
     ReplicaReads(),
     FailoverGap(),
@@ -46,7 +46,7 @@
 
 def describe(name: str, figures: list[Figure]) -> list[str]:
     """Return the lines that a person reads."""
-    return describe_table(f'{name}: {EXPERIMENTS[name].about}', figures)
+    return format_figures(f'{name}: {EXPERIMENTS[name].summary}', figures)
 
 
 def encode(figures: Iterable[Figure]) -> list[dict[str, Any]]:
@@ -70,14 +70,14 @@
         name: {each.name: each.measured for each in figures}
         for name, figures in found.items()
     }
-    BASELINE.write_text(f'{json.dumps(plain, indent=1)}\n')
+    BASELINE_PATH.write_text(f'{json.dumps(plain, indent=1)}\n')
 
 
 def read_baseline() -> dict[str, dict[str, float]]:
     """Return the committed figures by experiment and name."""
-    if not BASELINE.exists():
+    if not BASELINE_PATH.exists():
         return {}
-    found: dict[str, dict[str, float]] = json.loads(BASELINE.read_text())
+    found: dict[str, dict[str, float]] = json.loads(BASELINE_PATH.read_text())
     return found
 
 
@@ -89,8 +89,8 @@
 
     Examples
     --------
-    >>> from deckdrum.bench.experiments.base import Side
-    >>> slower = Figure('gap', 2.0, 's', Side.AT_MOST, 5)
+    >>> from deckdrum.bench.experiments.base import BoundKind
+    >>> slower = Figure('gap', 2.0, 's', BoundKind.AT_MOST, 5)
     >>> find_regressions([slower], {'gap': 1.0})
     ['gap: 2, was 1']
     """
@@ -102,6 +102,6 @@
         worse = each.measured - before
         if each.side.value == '>=':
             worse = -worse
-        if worse > max(abs(before) * TOLERANCE, _LEAST):
+        if worse > max(abs(before) * TOLERANCE_FRACTION, _LEAST):
             found.append(f'{each.name}: {each.measured:g}, was {before:g}')
     return found
--- a/deckdrum/bench/slopes.py
+++ b/deckdrum/bench/slopes.py
@@ -79,7 +79,7 @@
     span: tuple[float, float]
 
 
-def fit(
+def fit_line(
     name: str,
     unit: str,
     steps: Sequence[float],
@@ -89,7 +89,7 @@
 
     Examples
     --------
-    >>> fit('memory', 'B', [0, 1, 2], [10, 15, 20]).slope
+    >>> fit_line('memory', 'B', [0, 1, 2], [10, 15, 20]).slope
     5.0
     """
     line = linear_regression(steps, measured)
@@ -136,7 +136,7 @@
         pages = int(text.split()[_RESIDENT_PAGES])
         return pages * os.sysconf('SC_PAGE_SIZE')
 
-    def pick(self, offset: int) -> Address:
+    def get_address(self, offset: int) -> Address:
         """Return one of the proxy's addresses."""
         return Address(_HOST, _FIRST_PORT + 10 * self.number + offset)
 
@@ -152,7 +152,7 @@
             name=self.name,
             kind='proxy',
             data_centre='ba-hall',
-            address=str(self.pick(1)),
+            address=str(self.get_address(1)),
         )
         await deployment.platform.list_instance(instance, at_once=True)
         async with curio.timeout_after(_READY_LIMIT):
@@ -167,22 +167,22 @@
     async def connect(self, service: str) -> Client:
         """Log a caller in."""
         credentials = Credentials('growers-app', 'standin', 'bench', service)
-        return await Client.connect(self.pick(0), credentials)
+        return await Client.connect(self.get_address(0), credentials)
 
     def _describe(self) -> dict[str, object]:
         return {
             'name': self.name,
             'data_centre': 'ba-hall',
-            'listen': str(self.pick(0)),
-            'peer_listen': str(self.pick(1)),
-            'admin_listen': str(self.pick(2)),
+            'listen': str(self.get_address(0)),
+            'peer_listen': str(self.get_address(1)),
+            'admin_listen': str(self.get_address(2)),
             'platform': str(self.platform),
             'database_password': 'standin',
             'session_keys': ['a key of the stand-in fleet'],
         }
 
     async def _is_ready(self) -> bool:
-        client = HttpClient(self.pick(2))
+        client = HttpClient(self.get_address(2))
         try:
             reply = await client.call(Request('GET', '/readyz'), 1)
         except ConnectionError:
@@ -192,7 +192,7 @@
         return reply.status == _OK
 
 
-async def measure_processes() -> list[Slope]:
+async def measure_proxy_processes() -> list[Slope]:
     """Measure what needs proxy processes, in real time."""
     found: list[Slope] = []
     with tempfile.TemporaryDirectory() as folder:
@@ -248,7 +248,7 @@
         measured.append(entry.memory)
     for client in clients:
         await client.close()
-    return fit('memory of an idle caller', 'B', _CALLER_COUNTS, measured)
+    return fit_line('memory of an idle caller', 'B', _CALLER_COUNTS, measured)
 
 
 async def _measure_statements(
@@ -268,7 +268,7 @@
     for client in clients:
         await client.close()
     return [
-        fit(
+        fit_line(
             f'processor time of a current read, {role}',
             'us',
             _STATEMENT_COUNTS,
@@ -296,7 +296,7 @@
         finally:
             proxy.stop()
             await deployment.close()
-    return fit(
+    return fit_line(
         'processor share of a kept service, quiet',
         '%',
         _SERVICE_COUNTS,
@@ -304,7 +304,7 @@
     )
 
 
-async def measure_probe() -> Slope:
+async def measure_probe_bytes() -> Slope:
     """Count the payload bytes of probes, both ways."""
     deployment = await _start_backends((_SERVICE,))
     entry = DatabaseEntry(
@@ -327,7 +327,7 @@
         totals.append(total)
     await link.close()
     await deployment.close()
-    return fit('payload of a probe', 'B', range(_PROBES + 1), totals)
+    return fit_line('payload of a probe', 'B', range(_PROBES + 1), totals)
 
 
 async def _measure_share(proxy: ProxyProcess) -> float:
@@ -338,7 +338,7 @@
     return (proxy.cpu - before) / _CONTROL_SECONDS * _PERCENT
 
 
-async def count_store_calls(proxies: int) -> float:
+async def measure_store_call_rate(proxies: int) -> float:
     """Return the platform's calls a second on a quiet day, in virtual time."""
     layout = replace(Layout(), services=(_SERVICE,), proxies=proxies)
     deployment = Deployment(layout)
@@ -353,16 +353,18 @@
 
 def measure_all() -> list[Slope]:
     """Measure every slope of the capacity page."""
-    found: list[Slope] = curio.run(measure_processes)
-    found.append(run_virtual(measure_probe))
-    calls = [run_virtual(count_store_calls, each) for each in _PROXY_COUNTS]
+    found: list[Slope] = curio.run(measure_proxy_processes)
+    found.append(run_virtual(measure_probe_bytes))
+    calls = [
+        run_virtual(measure_store_call_rate, each) for each in _PROXY_COUNTS
+    ]
     found.append(
-        fit('store calls of a proxy, quiet', '1/s', _PROXY_COUNTS, calls),
+        fit_line('store calls of a proxy, quiet', '1/s', _PROXY_COUNTS, calls),
     )
     return found
 
 
-def describe_slopes(slopes: Sequence[Slope]) -> str:
+def format_slopes(slopes: Sequence[Slope]) -> str:
     """Return the table of the capacity page."""
     lines = [
         '| slope | for each step | base | spread | measured from .. to |',
--- a/deckdrum/bench/workload.py
+++ b/deckdrum/bench/workload.py
@@ -11,7 +11,11 @@
 
 from deckdrum.bench.client import Client
 from deckdrum.bench.deployment import Deployment
-from deckdrum.bench.history import History, Told, read_told
+from deckdrum.bench.history import (
+    History,
+    ReportedOutcome,
+    parse_reported_outcome,
+)
 
 TABLE: Final = 'bookings'
 _RECONNECT_PAUSE: Final = 0.05
@@ -40,7 +44,7 @@
     return [row[0] for row in rows]
 
 
-def read_replica_share(
+def compute_replica_share(
     deployment: Deployment,
     accesses: tuple[str, ...] = ('current', 'aged'),
 ) -> float:
@@ -60,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Pace:
+class LoadProfile:
     """How a load behaves; times in seconds.
 
     `read_kind` is the kind of read by which a caller reads back.
@@ -88,7 +92,7 @@
     """
 
     deployment: Deployment
-    pace: Pace
+    pace: LoadProfile
     randomness: Random
     history: History = field(default_factory=History)
     is_over: bool = False
@@ -108,11 +112,11 @@
             await task.join()
         return self.history
 
-    def start_numbers(self, first: int) -> None:
+    def set_first_write_number(self, first: int) -> None:
         """Set the number of the first write."""
         self._numbers = itertools.count(first)
 
-    def take_number(self) -> int:
+    def allocate_write_number(self) -> int:
         """Return the number of the next write."""
         return next(self._numbers)
 
@@ -146,11 +150,11 @@
 
     async def write(self) -> None:
         """Insert a row and note what was told."""
-        number = self._load.take_number()
-        self._load.history.note_write(number, Told.UNKNOWN)
+        number = self._load.allocate_write_number()
+        self._load.history.record_write(number, ReportedOutcome.UNKNOWN)
         client = await self._move()
         if client is None:
-            self._load.history.note_write(number, Told.NOT_RUN)
+            self._load.history.record_write(number, ReportedOutcome.NOT_RUN)
             return
         try:
             answer = await client.run(
@@ -159,10 +163,10 @@
         except ConnectionError:
             await self.leave()
             return
-        told = read_told(answer)
-        self._load.history.note_write(number, told)
+        told = parse_reported_outcome(answer)
+        self._load.history.record_write(number, told)
         self._token = client.token or self._token
-        if told is Told.DONE:
+        if told is ReportedOutcome.DONE:
             self._done.add(number)
 
     async def read_back(self) -> None:
@@ -185,7 +189,7 @@
         history.checks += len(expected)
         missing = expected - {int(row[0] or 0) for row in answer.rows}
         if missing:
-            history.note_violation(
+            history.record_violation(
                 f'{self._name} does not see its writes {sorted(missing)}',
             )
 
--- a/deckdrum/callers/answers.py
+++ b/deckdrum/callers/answers.py
@@ -7,7 +7,7 @@
 
 from deckdrum.outcomes import Refusal
 from deckdrum.wire import Frame, decode_frontend, encode_error, tags
-from deckdrum.wire.messages import codec, encode_complete
+from deckdrum.wire.messages import codec, encode_command_complete
 
 _TEXT_OID: Final = 25
 _VARIABLE_SIZE: Final = -1
@@ -73,7 +73,7 @@
     row = b''
     if answer.column:
         row = codec.DataRow(columns=[answer.text.encode()]).to_wire()
-    return row + encode_complete(answer.command)
+    return row + encode_command_complete(answer.command)
 
 
 def _acknowledge(message: Any) -> _Builder:
--- a/deckdrum/callers/batches.py
+++ b/deckdrum/callers/batches.py
@@ -5,7 +5,7 @@
 from typing import Any, Final
 
 from deckdrum.callers.host import CallerHost
-from deckdrum.callers.state import CallerState, Definition
+from deckdrum.callers.state import CallerState, StatementDefinition
 from deckdrum.configuration import Document
 from deckdrum.fleet.messages import (
     PreparedStatement,
@@ -27,10 +27,10 @@
         tags.CLOSE,
     )
 )
-_ENDING_TAGS: Final = frozenset((tags.SYNC, tags.FLUSH))
+_BATCH_END_TAGS: Final = frozenset((tags.SYNC, tags.FLUSH))
 _READ_EFFECTS: Final = frozenset((Effect.READ, Effect.READ_TRANSACTION))
-_HINT_KIND: Final = 'read_kind='
-_HINT_ONCE: Final = 'not_repeatable'
+_READ_KIND_HINT: Final = 'read_kind='
+_NOT_REPEATABLE_HINT: Final = 'not_repeatable'
 
 
 class Handling(StrEnum):
@@ -125,16 +125,16 @@
                 return None
             batch.frames.append(frame)
             if frame.tag == tags.QUERY:
-                self._check_alone(batch)
+                self._check_simple_query(batch)
                 query = decode_frontend(frame).query_string
                 batch.statements.append(self._host.classifier.classify(query))
                 batch.runs = True
                 return batch
-            if frame.tag in _ENDING_TAGS:
+            if frame.tag in _BATCH_END_TAGS:
                 return batch
             self._note(frame, batch)
 
-    def _check_alone(self, batch: Batch) -> None:
+    def _check_simple_query(self, batch: Batch) -> None:
         if len(batch.frames) > 1:
             raise WireError('a simple query came before Sync')
 
@@ -148,22 +148,24 @@
             return
         message = decode_frontend(frame)
         if frame.tag == tags.PARSE:
-            self._note_parse(message, batch)
+            self._record_parse(message, batch)
         elif frame.tag == tags.BIND:
-            self._note_use(message.statement, batch)
+            self._record_prepared_use(message.statement, batch)
         elif message.kind == 'S':
-            self._note_use(message.name, batch)
+            self._record_prepared_use(message.name, batch)
             if frame.tag == tags.CLOSE:
                 batch.statements.clear()
                 self._state.deallocate(message.name or ' ')
 
-    def _note_parse(self, message: Any, batch: Batch) -> None:
+    def _record_parse(self, message: Any, batch: Batch) -> None:
         statement = self._host.classifier.classify(message.query)
         batch.statements.append(statement)
         if message.statement:
-            self._state.define(Definition(define_statement(message), statement))
+            self._state.define(
+                StatementDefinition(define_statement(message), statement)
+            )
 
-    def _note_use(self, name: str, batch: Batch) -> None:
+    def _record_prepared_use(self, name: str, batch: Batch) -> None:
         definition = self._state.definitions.get(name) if name else None
         if definition is None or name in batch.used:
             return
@@ -171,7 +173,7 @@
         batch.statements.append(definition.statement)
 
 
-def build_run(
+def build_run_message(
     batch: Batch,
     state: CallerState,
     document: Document,
@@ -183,7 +185,7 @@
         access = Access.CURRENT
         kind = document.find_read_kind(_read_kind(batch, state))
         if kind is not None and state.knows_floor:
-            access = Access.AGED
+            access = Access.BOUNDED_STALENESS
             max_age = kind.max_age
     floor = state.token.floor(state.service)
     return RunBatch(
@@ -199,8 +201,8 @@
 
 def _read_kind(batch: Batch, state: CallerState) -> str:
     for hint in batch.hints:
-        if hint.startswith(_HINT_KIND):
-            return hint.removeprefix(_HINT_KIND)
+        if hint.startswith(_READ_KIND_HINT):
+            return hint.removeprefix(_READ_KIND_HINT)
     return state.read_kind
 
 
@@ -209,7 +211,7 @@
     state: CallerState,
     document: Document,
 ) -> bool:
-    if not state.is_repeatable or _HINT_ONCE in batch.hints:
+    if not state.is_repeatable or _NOT_REPEATABLE_HINT in batch.hints:
         return False
     service = document.find_service(state.service)
     if service is None:
--- a/deckdrum/callers/connection.py
+++ b/deckdrum/callers/connection.py
@@ -10,7 +10,7 @@
 from deckdrum.callers.batches import Batch, BatchReader, Handling
 from deckdrum.callers.execution import Execution
 from deckdrum.callers.host import CallerHost, CancelKey
-from deckdrum.callers.local import apply_locally
+from deckdrum.callers.local import execute_locally
 from deckdrum.callers.login import Login, LoginTask
 from deckdrum.callers.state import SESSION, CallerState, read_options
 from deckdrum.outcomes import Code, Refusal, refuse
@@ -19,19 +19,21 @@
     FrameReader,
     WireError,
     encode_error,
-    encode_parameter,
+    encode_parameter_status,
     encode_ready,
     tags,
 )
 from deckdrum.wire.messages import codec
 
 _ABORTED: Final = 'current transaction is aborted, commands ignored'
-_ENDING_COMMANDS: Final = frozenset(('ROLLBACK', 'ABORT', 'COMMIT', 'END'))
+_TRANSACTION_END_COMMANDS: Final = frozenset(
+    ('ROLLBACK', 'ABORT', 'COMMIT', 'END')
+)
 #: Transaction status outside any transaction.
 _IDLE: Final = 'I'
 _READY_BYTES: Final = 6
-_CLOSING_TAGS: Final = frozenset((tags.CLOSE, tags.SYNC, tags.FLUSH))
-_GREETING: Final = (
+_CLOSE_TAGS: Final = frozenset((tags.CLOSE, tags.SYNC, tags.FLUSH))
+_SERVER_PARAMETERS: Final = (
     ('server_version', '16.0'),
     ('server_encoding', 'UTF8'),
     ('client_encoding', 'UTF8'),
@@ -88,7 +90,7 @@
         if self._execution is not None:
             await self._execution.cancel()
 
-    async def say_goodbye(self) -> None:
+    async def close_if_idle(self) -> None:
         """Tell an idle caller that the proxy stops, and close."""
         if self.is_idle and self._execution is not None:
             await self._say_last(refuse(Code.DRAINING))
@@ -105,7 +107,7 @@
             await self._say_last(refusal)
             return
         self._execution = Execution(self._host, self._stream, state)
-        await self._greet(state)
+        await self._complete_startup(state)
         await self._serve(state, self._execution)
 
     async def _serve(self, state: CallerState, execution: Execution) -> None:
@@ -127,14 +129,19 @@
             self._host.ring,
         )
 
-    async def _greet(self, state: CallerState) -> None:
+    async def _complete_startup(self, state: CallerState) -> None:
         key = self._host.make_key()
         self.key = key
         parts = [codec.AuthenticationOk().to_wire()]
-        parts.extend(encode_parameter(name, text) for name, text in _GREETING)
+        parts.extend(
+            encode_parameter_status(name, text)
+            for name, text in _SERVER_PARAMETERS
+        )
         if state.token.positions:
             parts.append(
-                encode_parameter(SESSION, state.token.encode(state.ring)),
+                encode_parameter_status(
+                    SESSION, state.token.encode(state.ring)
+                ),
             )
         parts.append(codec.BackendKeyData(key.process, key.secret).to_wire())
         parts.append(encode_ready(state.status))
@@ -147,11 +154,11 @@
         execution: Execution,
     ) -> None:
         if state.is_lost and batch.statements:
-            payload = _answer_lost(batch, state)
+            payload = _answer_lost_transaction(batch, state)
         elif batch.handling is Handling.REFUSED:
             commands = ', '.join(each.command for each in batch.statements)
             payload = encode_refusal(refuse(Code.NOT_SUPPORTED, commands))
-        elif _belongs_here(batch, execution):
+        elif _is_answered_locally(batch, execution):
             payload = _answer_locally(batch, state)
         else:
             payload = await execution.run(batch)
@@ -176,27 +183,27 @@
     return ready.startswith(tags.READY)
 
 
-def _belongs_here(batch: Batch, execution: Execution) -> bool:
+def _is_answered_locally(batch: Batch, execution: Execution) -> bool:
     """Tell whether the proxy itself answers a batch."""
     if batch.handling is not Handling.LOCAL:
         return False
     if batch.statements:
         return True
-    only_closes = all(frame.tag in _CLOSING_TAGS for frame in batch.frames)
+    only_closes = all(frame.tag in _CLOSE_TAGS for frame in batch.frames)
     return only_closes and not execution.is_open
 
 
 def _answer_locally(batch: Batch, state: CallerState) -> bytes:
-    outcome = apply_locally(batch, state)
+    outcome = execute_locally(batch, state)
     if isinstance(outcome, Refusal):
         return encode_refusal(outcome)
     return encode_answer(batch.frames, outcome)
 
 
-def _answer_lost(batch: Batch, state: CallerState) -> bytes:
+def _answer_lost_transaction(batch: Batch, state: CallerState) -> bytes:
     """Answer a caller whose transaction is gone until it ends it."""
     commands = {each.command for each in batch.statements}
-    if not batch.runs or not commands <= _ENDING_COMMANDS:
+    if not batch.runs or not commands <= _TRANSACTION_END_COMMANDS:
         return encode_error('25P02', _ABORTED)
     state.is_lost = False
     state.status = _IDLE
--- a/deckdrum/callers/execution.py
+++ b/deckdrum/callers/execution.py
@@ -5,7 +5,7 @@
 import curio
 
 from deckdrum.callers.answers import encode_refusal
-from deckdrum.callers.batches import Batch, build_run
+from deckdrum.callers.batches import Batch, build_run_message
 from deckdrum.callers.host import CallerHost, OpenedChannel
 from deckdrum.callers.state import SESSION, CallerState
 from deckdrum.fleet.base import Message
@@ -19,16 +19,16 @@
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.sessions import Position
 from deckdrum.utils import Stream
-from deckdrum.wire import WireError, encode_parameter, encode_ready
+from deckdrum.wire import WireError, encode_parameter_status, encode_ready
 
 #: Keepers that a batch may be handed to, one after the other.
-_MAX_KEEPERS: Final = 3
+_MAX_KEEPER_ATTEMPTS: Final = 3
 #: Silence of a keeper after which it is asked whether it runs, in seconds.
 _SILENCE: Final = 1.0
 _IDLE: Final = 'I'
 _FAILED: Final = 'E'
 #: Refusals by which a keeper says that another one should be asked.
-_MOVED_CODES: Final = frozenset((Code.DRAINING, Code.NO_KEEPER))
+_RETRY_ELSEWHERE_CODES: Final = frozenset((Code.DRAINING, Code.NO_KEEPER))
 
 
 class CallerLeftError(Exception):
@@ -81,9 +81,9 @@
         if document is None:
             return encode_refusal(refuse(Code.NOT_CONFIGURED))
         state = self._state
-        message = build_run(batch, state, document)
+        message = build_run_message(batch, state, document)
         started_at = await curio.clock()
-        end = await self._run_somewhere(message)
+        end = await self._run_on_any_keeper(message)
         seconds = await curio.clock() - started_at
         is_change = message.access == Access.WRITE
         self._host.metrics.latency.labels(
@@ -107,10 +107,10 @@
         if opened is not None:
             await opened.channel.close()
 
-    async def _run_somewhere(self, message: RunBatch) -> BatchEnd | Refusal:
+    async def _run_on_any_keeper(self, message: RunBatch) -> BatchEnd | Refusal:
         """Ask keepers one after the other until one has run the batch."""
         end: BatchEnd | Refusal = refuse(Code.NO_KEEPER)
-        for _ in range(_MAX_KEEPERS):
+        for _ in range(_MAX_KEEPER_ATTEMPTS):
             opened = self._opened or await self._host.open_channel(
                 self._state.service,
                 self._state.group,
@@ -119,7 +119,7 @@
                 return opened
             self._opened = opened
             end = await self._exchange(message, opened)
-            if not self._should_move(end):
+            if not self._should_try_another_keeper(end):
                 break
             await self._host.suspect(opened.keeper)
             await self.close()
@@ -140,7 +140,7 @@
             while True:
                 answer = await self._receive(opened)
                 if not isinstance(answer, Rows):
-                    return self._read_end(answer)
+                    return self._decode_end(answer)
                 touched = True
                 await self._pass_rows(answer)
         except CallerLeftError as error:
@@ -167,7 +167,7 @@
             if not await self._host.is_running(opened.keeper):
                 raise ConnectionResetError('its process does not answer')
 
-    def _read_end(self, answer: Message) -> BatchEnd | Refusal:
+    def _decode_end(self, answer: Message) -> BatchEnd | Refusal:
         if isinstance(answer, BatchEnd):
             return answer
         if not isinstance(answer, BatchRefused):
@@ -177,11 +177,11 @@
         told = refuse(Code(answer.code))
         return Refusal(told.code, told.fate, answer.text, told.retry_after)
 
-    def _should_move(self, end: BatchEnd | Refusal) -> bool:
+    def _should_try_another_keeper(self, end: BatchEnd | Refusal) -> bool:
         """Tell whether another keeper should be asked."""
         if isinstance(end, BatchEnd) or self._state.status != _IDLE:
             return False
-        return end.code in _MOVED_CODES
+        return end.code in _RETRY_ELSEWHERE_CODES
 
     async def _pass_rows(self, rows: Rows) -> None:
         try:
@@ -196,7 +196,9 @@
         if state.token.advance(state.service, Position(*end.floor)):
             state.knows_floor = True
             parts.append(
-                encode_parameter(SESSION, state.token.encode(state.ring)),
+                encode_parameter_status(
+                    SESSION, state.token.encode(state.ring)
+                ),
             )
         if end.status:
             state.status = end.status
--- a/deckdrum/callers/local.py
+++ b/deckdrum/callers/local.py
@@ -14,7 +14,7 @@
 _Step = Callable[[Statement, CallerState], Refusal | None]
 
 
-def apply_locally(
+def execute_locally(
     batch: Batch,
     state: CallerState,
 ) -> LocalAnswer | Refusal:
--- a/deckdrum/callers/login.py
+++ b/deckdrum/callers/login.py
@@ -21,7 +21,7 @@
 _ITERATIONS: Final = 4096
 _SALT_BYTES: Final = 16
 #: Requests for encryption that a caller may make before it starts up.
-_NEGOTIATIONS: Final = 2
+_MAX_ENCRYPTION_REQUESTS: Final = 2
 _NO_ENCRYPTION: Final = b'N'
 
 
@@ -85,17 +85,17 @@
             return None
         document = self._host.document
         if self._host.is_draining:
-            await self._turn_away(refuse(Code.DRAINING))
+            await self._send_refusal(refuse(Code.DRAINING))
             return None
         if document is None:
             told = 'no configuration is in force'
-            await self._turn_away(refuse(Code.NOT_CONFIGURED, told))
+            await self._send_refusal(refuse(Code.NOT_CONFIGURED, told))
             return None
         return await self._authenticate(startup.params, document)
 
     async def _negotiate(self) -> Any:
         """Answer requests for encryption and cancel; return the start-up."""
-        for _ in range(_NEGOTIATIONS + 1):
+        for _ in range(_MAX_ENCRYPTION_REQUESTS + 1):
             body = await self._reader.read_startup()
             if body is None:
                 return None
@@ -116,19 +116,19 @@
     ) -> Login | None:
         name = startup.get('user', '')
         user = document.find_user(name)
-        record = self._find_record(name, user)
+        record = self._get_scram_record(name, user)
         if not await self._check_password(record) or user is None:
             self._host.metrics.count('caller.login_refused')
-            await self._turn_away(refuse(Code.BAD_LOGIN))
+            await self._send_refusal(refuse(Code.BAD_LOGIN))
             return None
         service = startup.get('database', name)
         if document.find_service(service) is None:
             told = f'service {service!r}'
-            await self._turn_away(refuse(Code.NOT_CONFIGURED, told))
+            await self._send_refusal(refuse(Code.NOT_CONFIGURED, told))
             return None
         return Login(user, startup)
 
-    def _find_record(self, name: str, user: User | None) -> ScramRecord:
+    def _get_scram_record(self, name: str, user: User | None) -> ScramRecord:
         """Return the record to check against.
 
         An unknown user gets a made-up record, always the same, so that
@@ -180,7 +180,7 @@
             raise WireError('the caller left during log-in')
         return bytes(decode_frontend(frame, phase).data).decode()
 
-    async def _turn_away(self, refusal: Refusal) -> None:
+    async def _send_refusal(self, refusal: Refusal) -> None:
         await self._stream.send(encode_refusal(refusal, 'FATAL'))
 
 
--- a/deckdrum/callers/state.py
+++ b/deckdrum/callers/state.py
@@ -15,13 +15,13 @@
 READ_KIND: Final = 'deckdrum.read_kind'
 REPEATABLE: Final = 'deckdrum.repeatable'
 #: The kind of read that sees every acknowledged change.
-CURRENT_KIND: Final = 'current'
+CURRENT_READ_KIND: Final = 'current'
 #: Settings that a session may replay at most.
-MAX_SETTINGS: Final = 64
+MAX_REPLAYED_SETTINGS: Final = 64
 #: Prepared statements that a session may hold at most.
-MAX_STATEMENTS: Final = 1000
+MAX_PREPARED_STATEMENTS: Final = 1000
 #: Start-up parameters that are not session settings.
-_START_PARAMETERS: Final = frozenset(
+_NON_SETTING_PARAMETERS: Final = frozenset(
     (
         'user',
         'database',
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Definition:
+class StatementDefinition:
     """A caller's prepared statement and what it does."""
 
     prepared: PreparedStatement
@@ -60,12 +60,12 @@
     service: str
     ring: KeyRing
     token: Token = field(default_factory=Token)
-    read_kind: str = CURRENT_KIND
+    read_kind: str = CURRENT_READ_KIND
     is_repeatable: bool = True
     session_name: str = ''
     settings: dict[str, str] = field(default_factory=dict)
     good_settings: dict[str, str] = field(default_factory=dict)
-    definitions: dict[str, Definition] = field(default_factory=dict)
+    definitions: dict[str, StatementDefinition] = field(default_factory=dict)
     status: str = 'I'
     is_lost: bool = False
     knows_floor: bool = True
@@ -88,7 +88,7 @@
             Why it cannot be changed.
         """
         if name == SESSION:
-            return self._bring_token(text)
+            return self._merge_token(text)
         if name == READ_KIND:
             self.read_kind = text
         elif name == REPEATABLE:
@@ -99,7 +99,7 @@
         elif name.startswith('deckdrum.'):
             return refuse(Code.BAD_SETTING, f'{name} is unknown')
         else:
-            return self._change_replayed(name, text)
+            return self._change_replayed_setting(name, text)
         return None
 
     def reset(self, name: str) -> None:
@@ -118,10 +118,10 @@
             REPEATABLE: 'on' if self.is_repeatable else 'off',
         }.get(name)
 
-    def define(self, definition: Definition) -> None:
+    def define(self, definition: StatementDefinition) -> None:
         """Remember a prepared statement; the oldest goes if too many."""
         self.definitions[definition.prepared.name] = definition
-        if len(self.definitions) > MAX_STATEMENTS:
+        if len(self.definitions) > MAX_PREPARED_STATEMENTS:
             self.definitions.pop(next(iter(self.definitions)))
 
     def deallocate(self, name: str) -> None:
@@ -131,7 +131,7 @@
         else:
             self.definitions.pop(name, None)
 
-    def _bring_token(self, text: str) -> Refusal | None:
+    def _merge_token(self, text: str) -> Refusal | None:
         try:
             self.token.merge(Token.decode(text, self.ring))
         except BadTokenError as error:
@@ -139,13 +139,16 @@
         self.knows_floor = True
         return None
 
-    def _change_replayed(self, name: str, text: str) -> Refusal | None:
+    def _change_replayed_setting(self, name: str, text: str) -> Refusal | None:
         if name == 'client_encoding':
             plain = text.lower().replace('-', '').strip('\'"')
             if plain == 'utf8':
                 return None
             return refuse(Code.BAD_SETTING, f'{name} {text!r}, expected UTF8')
-        if len(self.settings) >= MAX_SETTINGS and name not in self.settings:
+        if (
+            len(self.settings) >= MAX_REPLAYED_SETTINGS
+            and name not in self.settings
+        ):
             return refuse(Code.BAD_SETTING, 'too many settings')
         self.settings[name] = text
         return None
@@ -162,7 +165,7 @@
     options = {
         name: text
         for name, text in startup.items()
-        if name not in _START_PARAMETERS
+        if name not in _NON_SETTING_PARAMETERS
     }
     for word in shlex.split(startup.get('options', '')):
         name, equals, text = word.removeprefix('-c').strip('-').partition('=')
--- a/deckdrum/callers/tests/test_golden.py
+++ b/deckdrum/callers/tests/test_golden.py
@@ -7,25 +7,27 @@
 from pytest_regressions.file_regression import FileRegressionFixture
 
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.testing.golden import Scribe
+from deckdrum.testing.golden import SessionRecorder
 from deckdrum.utils.virtualtime import run_virtual
 
 
-async def book_and_roam(scribe: Scribe, deployment: Deployment) -> None:
+async def book_and_roam(
+    scribe: SessionRecorder, deployment: Deployment
+) -> None:
     await scribe.connect('grower', 'p1')
     await scribe.query('grower', 'CREATE TABLE pitches (id int, name text)')
-    await scribe.extended(
+    await scribe.send_extended_query(
         'grower', 'INSERT INTO pitches VALUES ($1, $2)', '1', 'bees'
     )
     await scribe.query('grower', 'SELECT * FROM pitches')
-    await scribe.roam('grower', 'p2', read_kind='browse')
-    await scribe.extended(
+    await scribe.reconnect('grower', 'p2', read_kind='browse')
+    await scribe.send_extended_query(
         'grower', 'SELECT name FROM pitches WHERE id = $1', '1'
     )
     await scribe.query('grower', 'SHOW deckdrum.read_kind')
 
 
-async def roll_back(scribe: Scribe, deployment: Deployment) -> None:
+async def roll_back(scribe: SessionRecorder, deployment: Deployment) -> None:
     await scribe.connect('grower', 'p1')
     await scribe.query('grower', 'CREATE TABLE fees (id int PRIMARY KEY)')
     await scribe.query('grower', 'BEGIN')
@@ -40,7 +42,7 @@
     await scribe.query('grower', '')
 
 
-async def refuse(scribe: Scribe, deployment: Deployment) -> None:
+async def refuse(scribe: SessionRecorder, deployment: Deployment) -> None:
     await scribe.connect('grower', 'p1')
     await scribe.query('grower', 'LISTEN news')
     await scribe.query('grower', 'SET deckdrum.nonsense = 1')
@@ -48,7 +50,7 @@
     await scribe.query('grower', 'BEGIN')
     await scribe.query('grower', 'SET work_mem = 1')
     await scribe.query('grower', 'ROLLBACK')
-    await scribe.extended('grower', 'SELECT * FROM nowhere')
+    await scribe.send_extended_query('grower', 'SELECT * FROM nowhere')
     for database in deployment.list_databases('stalls'):
         await database.crash()
     await curio.sleep(1)
@@ -56,7 +58,9 @@
     await scribe.query('grower', 'CREATE TABLE late (id int)')
 
 
-async def lose_the_primary(scribe: Scribe, deployment: Deployment) -> None:
+async def lose_the_primary(
+    scribe: SessionRecorder, deployment: Deployment
+) -> None:
     await scribe.connect('grower', 'p1')
     await scribe.query('grower', 'CREATE TABLE fees (id int PRIMARY KEY)')
     await scribe.query('grower', 'BEGIN')
@@ -75,13 +79,13 @@
 
 @pytest.mark.parametrize('play', SESSIONS, ids=lambda each: each.__name__)
 def test_session(
-    play: Callable[[Scribe, Deployment], Awaitable[None]],
+    play: Callable[[SessionRecorder, Deployment], Awaitable[None]],
     file_regression: FileRegressionFixture,
 ) -> None:
     async def main() -> str:
         deployment = Deployment(Layout(services=('stalls',)))
         await deployment.start()
-        scribe = Scribe(deployment)
+        scribe = SessionRecorder(deployment)
         await play(scribe, deployment)
         await deployment.close()
         return scribe.text
--- a/deckdrum/callers/tests/test_protocol.py
+++ b/deckdrum/callers/tests/test_protocol.py
@@ -32,7 +32,7 @@
 
 
 def count_held(deployment: Deployment) -> int:
-    keeper = deployment.proxies['p1'].keeping.keepers['stalls']
+    keeper = deployment.proxies['p1'].keeper_manager.keepers['stalls']
     return sum(pool.queue.held for pool in keeper.pools.values())
 
 
--- a/deckdrum/commands/bench.py
+++ b/deckdrum/commands/bench.py
@@ -15,13 +15,13 @@
 from deckdrum.bench import runner
 from deckdrum.bench.demo import run_demo
 from deckdrum.bench.relay import measure_relay
-from deckdrum.bench.slopes import describe_slopes, measure_all
+from deckdrum.bench.slopes import format_slopes, measure_all
 from deckdrum.commands.parsing import EXIT_FAILED, EXIT_OK, make_parser
 from deckdrum.soak import SoakPlan, SoakReport, run_soak
 from deckdrum.utils.virtualtime import run_virtual
 
 #: Exit code of a program that a signal ended is this and its number.
-_SIGNALLED: Final = 128
+_SIGNAL_EXIT_BASE: Final = 128
 _DESCRIPTION = """\
 Runs proxies and stand-ins in one process.
 
@@ -59,7 +59,7 @@
 def slopes(options: argparse.Namespace) -> int:
     """Measure the slopes of the capacity page."""
     found = measure_all()
-    say(describe_slopes(found))
+    say(format_slopes(found))
     options.output.parent.mkdir(parents=True, exist_ok=True)
     encoded = [asdict(each) for each in found]
     options.output.write_text(json.dumps(encoded, indent=1))
@@ -82,22 +82,26 @@
 
 
 def _describe_soak(seed: int, report: SoakReport) -> list[str]:
-    fates = ', '.join(
-        f'{count} {fate}' for fate, count in sorted(report.fates.items())
+    outcome_counts = ', '.join(
+        f'{count} {fate}'
+        for fate, count in sorted(report.outcome_counts.items())
     )
     broken = [f'  BROKEN {each}' for each in report.broken]
-    return [f'seed {seed}: {len(report.faults)} faults; {fates}', *broken]
+    return [
+        f'seed {seed}: {len(report.faults)} faults; {outcome_counts}',
+        *broken,
+    ]
 
 
 def _leave(number: int, frame: object) -> None:
     """End the program as asked by a signal."""
-    sys.exit(_SIGNALLED + number)
+    sys.exit(_SIGNAL_EXIT_BASE + number)
 
 
 def list_names(options: argparse.Namespace) -> int:
     """List the experiments."""
     for name, experiment in runner.EXPERIMENTS.items():
-        say(f'{name:20} {experiment.about}')
+        say(f'{name:20} {experiment.summary}')
     return EXIT_OK
 
 
--- a/deckdrum/commands/control.py
+++ b/deckdrum/commands/control.py
@@ -15,8 +15,8 @@
 from deckdrum.callers.login import make_verifier
 from deckdrum.commands.arguments import add_arguments
 from deckdrum.commands.explaining import (
-    Question,
-    tell_story,
+    LogQuery,
+    print_explanation,
 )
 from deckdrum.commands.parsing import (
     EXIT_CONFLICT,
@@ -26,7 +26,7 @@
     EXIT_USAGE,
     make_parser,
 )
-from deckdrum.commands.reporting import tell_report
+from deckdrum.commands.reporting import print_report
 from deckdrum.configuration import Difference, compare_documents, parse_document
 from deckdrum.configuration.applying import (
     ApplyOutcome,
@@ -52,7 +52,7 @@
 _DESCRIPTION = """\
 Checks and applies the configuration, and asks proxies what they do."""
 _SALT_BYTES: Final = 16
-_CALL_LIMIT: Final = 5.0
+_CALL_TIMEOUT_S: Final = 5.0
 _OK: Final = 200
 _APPLY_EXITS: Final = MappingProxyType(
     {
@@ -127,7 +127,7 @@
         say('no configuration is stored yet')
         return EXIT_OK
     before = parse_document(base.record.text)
-    _say_differences(compare_documents(before, document))
+    _print_differences(compare_documents(before, document))
     return EXIT_OK
 
 
@@ -149,7 +149,7 @@
         operation,
     )
     await store.close()
-    _say_report(report, operation)
+    _print_apply_report(report, operation)
     return _APPLY_EXITS[report.outcome]
 
 
@@ -164,15 +164,17 @@
         elif options.json:
             say(answer)
         else:
-            _say_status(address, json.loads(answer))
+            _print_status(address, json.loads(answer))
     return exit_code
 
 
 async def explain(options: argparse.Namespace) -> int:
     """Show what happened to a service or a request, from proxies or logs."""
     if options.admin is None:
-        question = Question(options.request or '', options.service or '')
-        found = tell_story(options.logs or (), question, options.json, say)
+        question = LogQuery(options.request or '', options.service or '')
+        found = print_explanation(
+            options.logs or (), question, options.json, say
+        )
         return EXIT_OK if found else EXIT_FAILED
     found = False
     for address in options.admin:
@@ -180,7 +182,7 @@
         answer = await _ask(address, 'GET', path)
         if answer is not None:
             found = True
-            _say_explanation(address, json.loads(answer))
+            _print_explanation(address, json.loads(answer))
     if not found:
         say(f'no proxy asked keeps {options.service}')
     return EXIT_OK if found else EXIT_FAILED
@@ -188,7 +190,7 @@
 
 async def report(options: argparse.Namespace) -> int:
     """Show figures of a while from the logs of nodes."""
-    found = tell_report(options.logs or (), options.json, say)
+    found = print_report(options.logs or (), options.json, say)
     return EXIT_OK if found else EXIT_FAILED
 
 
@@ -220,7 +222,7 @@
 async def _ask(address: Address, method: str, path: str) -> str | None:
     client = HttpClient(address)
     try:
-        reply = await client.call(Request(method, path), _CALL_LIMIT)
+        reply = await client.call(Request(method, path), _CALL_TIMEOUT_S)
     except ConnectionError:
         return None
     finally:
@@ -228,7 +230,7 @@
     return reply.body.decode() if reply.status == _OK else None
 
 
-def _say_differences(differences: Sequence[Difference]) -> None:
+def _print_differences(differences: Sequence[Difference]) -> None:
     if not differences:
         say('nothing differs')
     for each in differences:
@@ -237,16 +239,16 @@
         say(f'{each.path}: {before} -> {after}')
 
 
-def _say_report(report: ApplyReport, operation: str) -> None:
+def _print_apply_report(report: ApplyReport, operation: str) -> None:
     say(f'{report.outcome}: configuration {report.number}')
     if report.outcome is ApplyOutcome.CONFLICT:
         say(f'{report.author} changed meanwhile:')
     if report.outcome is ApplyOutcome.UNKNOWN:
         say(f'run again with --operation {operation}')
-    _say_differences(report.differences)
+    _print_differences(report.differences)
 
 
-def _say_status(address: Address, shown: Mapping[str, Any]) -> None:
+def _print_status(address: Address, shown: Mapping[str, Any]) -> None:
     number = shown['configuration']['number']
     age = shown['configuration']['in_force_for']
     say(
@@ -265,7 +267,7 @@
             )
 
 
-def _say_explanation(address: Address, shown: Mapping[str, Any]) -> None:
+def _print_explanation(address: Address, shown: Mapping[str, Any]) -> None:
     say(f'{address}:')
     for report in shown['failovers']:
         say(
@@ -303,8 +305,8 @@
     parser = make_parser('deckdrumctl', _DESCRIPTION)
     commands = parser.add_subparsers(dest='command', required=True)
     for name, step in _STEPS.items():
-        about = (step.__doc__ or '').strip()
-        command = commands.add_parser(name, help=about, description=about)
+        summary = (step.__doc__ or '').strip()
+        command = commands.add_parser(name, help=summary, description=summary)
         add_arguments(command, name)
     return parser
 
--- a/deckdrum/commands/explaining.py
+++ b/deckdrum/commands/explaining.py
@@ -10,13 +10,13 @@
 
 #: How long before a request's first line a group's lines belong to its story,
 #: in seconds: longer than a statement may take and a primary is missed.
-BEFORE: Final = 3.0
+CONTEXT_BEFORE_S: Final = 3.0
 #: The time that `logging` writes: a comma before the milliseconds.
 _TIME_FORMAT: Final = '%Y-%m-%d %H:%M:%S,%f'
 #: Fields that the heading of a line shows already.
-_HEADING: Final = frozenset(('time', 'event', 'source'))
+_HEADING_FIELDS: Final = frozenset(('time', 'event', 'source'))
 #: Events of the surroundings that may decide what becomes of a request.
-_SURROUNDINGS: Final = (
+_CONTEXT_EVENTS: Final = (
     'change.',
     'configuration.',
     'detour.',
@@ -52,13 +52,13 @@
         shown = ' '.join(
             f'{name}={field}'
             for name, field in self.fields.items()
-            if name not in _HEADING
+            if name not in _HEADING_FIELDS
         )
         return f'{self.time:%H:%M:%S.%f} {self.source} {self.event} {shown}'
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class LogQuery:
     """What shall be explained; empty parts do not restrict."""
 
     request: str = ''
@@ -79,7 +79,7 @@
 
 def explain_lines(
     lines: Iterable[LogLine],
-    question: Question,
+    question: LogQuery,
 ) -> list[LogLine]:
     """Return the lines that tell what happened, in order of time.
 
@@ -91,26 +91,26 @@
         return [
             line
             for line in ordered
-            if line.service == question.service and _is_surrounding(line)
+            if line.service == question.service and _is_context(line)
         ]
     own = [line for line in ordered if line.request == question.request]
     if not own:
         return []
     service = next((line.service for line in own if line.service), '')
-    since = own[0].time - timedelta(seconds=BEFORE)
+    since = own[0].time - timedelta(seconds=CONTEXT_BEFORE_S)
     return [
         line
         for line in ordered
         if line in own
         or (
             since <= line.time <= own[-1].time
-            and _is_surrounding(line)
+            and _is_context(line)
             and line.service in {'', service}
         )
     ]
 
 
-def conclude(lines: Sequence[LogLine], request: str) -> str:
+def summarize_request(lines: Sequence[LogLine], request: str) -> str:
     """Return one sentence on what became of a request."""
     own = [line for line in lines if line.request == request]
     if not own:
@@ -123,9 +123,9 @@
     return f'request {request}: {outcome}, after {seconds} s at {last.source}'
 
 
-def tell_story(
+def print_explanation(
     paths: Sequence[Path],
-    question: Question,
+    question: LogQuery,
     as_json: bool,
     say: Callable[[str], None],
 ) -> bool:
@@ -134,12 +134,12 @@
     for line in told:
         say(json.dumps(line.fields) if as_json else line.render())
     if question.request and not as_json:
-        say(conclude(told, question.request))
+        say(summarize_request(told, question.request))
     return bool(told)
 
 
-def _is_surrounding(line: LogLine) -> bool:
-    return line.event.startswith(_SURROUNDINGS)
+def _is_context(line: LogLine) -> bool:
+    return line.event.startswith(_CONTEXT_EVENTS)
 
 
 def _parse_lines(lines: Iterable[str]) -> Iterator[LogLine]:
--- a/deckdrum/commands/reporting.py
+++ b/deckdrum/commands/reporting.py
@@ -15,9 +15,9 @@
 from typing import Final
 
 from deckdrum.commands.explaining import LogLine, read_lines
-from deckdrum.commands.working import (
-    Connections,
-    Work,
+from deckdrum.commands.work_summary import (
+    ConnectionSummary,
+    WorkSummary,
     describe_connections,
     describe_work,
     summarize_connections,
@@ -28,13 +28,13 @@
 _MEDIAN: Final = 50
 _HIGH: Final = 99
 _PLACES: Final = 3
-_LOSSES: Final = frozenset(('request.unserved', 'request.late'))
+_LOSS_EVENTS: Final = frozenset(('request.unserved', 'request.late'))
 #: Names and numbers that differ from one loss to the next for one reason.
-_VARYING: Final = re.compile(r'[\w.-]*\d[\w.-]*')
+_VARIABLE_PARTS: Final = re.compile(r'[\w.-]*\d[\w.-]*')
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class DurationSummary:
     """Median, 99th percentile and most of some times, in seconds."""
 
     count: int
@@ -59,7 +59,7 @@
 
     service: str
     reason: str
-    held: Spread
+    held: DurationSummary
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,14 +93,14 @@
 
     reads: Mapping[str, int]
     replica_share: float | None
-    failover: Spread | None
-    starts: Spread | None
+    failover: DurationSummary | None
+    starts: DurationSummary | None
     refusals: Mapping[str, int]
     late: int
     answers_lost: int
     losses: tuple[Loss, ...]
-    work: tuple[Work, ...]
-    connections: tuple[Connections, ...]
+    work: tuple[WorkSummary, ...]
+    connections: tuple[ConnectionSummary, ...]
 
 
 def summarize_lines(lines: Iterable[LogLine]) -> Report:
@@ -122,8 +122,8 @@
     return Report(
         dict(reads),
         share,
-        measure_spread(_find_gaps(served)),
-        measure_spread(_find_starts(ordered)),
+        summarize_durations(_find_write_gaps(served)),
+        summarize_durations(_find_startup_times(ordered)),
         dict(refusals),
         events['request.late'],
         events['answer.lost'],
@@ -133,19 +133,19 @@
     )
 
 
-def measure_spread(times: Sequence[float]) -> Spread | None:
+def summarize_durations(times: Sequence[float]) -> DurationSummary | None:
     """Return the spread of times in seconds; None of none.
 
     Examples
     --------
-    >>> measure_spread([0.5, 1.0, 4.0])
+    >>> summarize_durations([0.5, 1.0, 4.0])
     Spread(count=3, median=1.0, high=4.0, most=4.0)
     """
     if not times:
         return None
     # One time alone has no quantiles: it stands for all of them.
     cuts = quantiles([*times, *times], n=_PERCENT, method='inclusive')
-    return Spread(
+    return DurationSummary(
         len(times),
         round(cuts[_MEDIAN - 1], _PLACES),
         round(cuts[_HIGH - 1], _PLACES),
@@ -153,7 +153,7 @@
     )
 
 
-def tell_report(
+def print_report(
     paths: Sequence[Path],
     as_json: bool,
     say: Callable[[str], None],
@@ -182,7 +182,7 @@
 
     Examples
     --------
-    >>> describe_loss(Loss('stalls', 'late', Spread(7, 0.3, 0.5, 0.6)))
+    >>> describe_loss(Loss('stalls', 'late', DurationSummary(7, 0.3, 0.5, 0.6)))
     'lost: stalls 7 times in 0.3 s (99 %: 0.5, most: 0.6): late'
     """
     held = loss.held
@@ -194,22 +194,22 @@
     """Return why operations were lost, by group and reason."""
     times: defaultdict[tuple[str, str], list[float]] = defaultdict(list)
     for line in ordered:
-        if line.event not in _LOSSES:
+        if line.event not in _LOSS_EVENTS:
             continue
         outcome = str(line.fields.get('outcome', ''))
         is_late = line.event == 'request.late'
-        reason = 'late' if is_late else _VARYING.sub('..', outcome)
+        reason = 'late' if is_late else _VARIABLE_PARTS.sub('..', outcome)
         service = str(line.fields.get('service', ''))
         times[service, reason].append(float(line.fields.get('seconds', 0)))
     losses = [
         Loss(service, reason, spread)
         for (service, reason), held in times.items()
-        if (spread := measure_spread(held)) is not None
+        if (spread := summarize_durations(held)) is not None
     ]
     return sorted(losses, key=lambda loss: -loss.held.count)
 
 
-def _find_gaps(served: Iterable[LogLine]) -> list[float]:
+def _find_write_gaps(served: Iterable[LogLine]) -> list[float]:
     """Return the times without answered changes around changes of primary.
 
     A group is told by the database name of its callers; one with several
@@ -232,7 +232,7 @@
     return gaps
 
 
-def _find_starts(ordered: Iterable[LogLine]) -> list[float]:
+def _find_startup_times(ordered: Iterable[LogLine]) -> list[float]:
     """Return the times from nodes' starts to their first answers."""
     started: defaultdict[str, datetime | None] = defaultdict(lambda: None)
     times = []
--- a/deckdrum/commands/signals.py
+++ b/deckdrum/commands/signals.py
@@ -9,12 +9,12 @@
 import curio
 
 #: Signals that ask for a planned stop.
-STOPPING = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 @contextmanager
 def catch_signals(
-    numbers: Sequence[signal.Signals] = STOPPING,
+    numbers: Sequence[signal.Signals] = STOP_SIGNALS,
 ) -> Iterator[Any]:
     """Give a socket from which the numbers of caught signals can be read.
 
--- a/deckdrum/commands/tests/test_freeze.py
+++ b/deckdrum/commands/tests/test_freeze.py
@@ -13,7 +13,11 @@
 
 from deckdrum.bench.client import Client
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.bench.history import History, Told, read_told
+from deckdrum.bench.history import (
+    History,
+    ReportedOutcome,
+    parse_reported_outcome,
+)
 from deckdrum.bench.slopes import ProxyProcess
 from deckdrum.bench.workload import read_rows
 from deckdrum.fleet.membership import rank_keepers
@@ -27,13 +31,13 @@
     history: History,
 ) -> None:
     """Write rows until one is acknowledged."""
-    told = Told.UNKNOWN
-    while told is not Told.DONE:
+    told = ReportedOutcome.UNKNOWN
+    while told is not ReportedOutcome.DONE:
         number = next(numbers)
-        history.note_write(number, Told.UNKNOWN)
+        history.record_write(number, ReportedOutcome.UNKNOWN)
         insert = f"INSERT INTO bookings VALUES ({number}, 'f')"
-        told = read_told(await client.run(insert))
-        history.note_write(number, told)
+        told = parse_reported_outcome(await client.run(insert))
+        history.record_write(number, told)
 
 
 async def freeze_keeper(folder: str) -> list[str]:
--- a/deckdrum/commands/tests/test_reporting.py
+++ b/deckdrum/commands/tests/test_reporting.py
@@ -8,7 +8,7 @@
 
 from deckdrum.commands import control
 from deckdrum.commands.explaining import read_lines
-from deckdrum.commands.reporting import summarize_lines, tell_report
+from deckdrum.commands.reporting import print_report, summarize_lines
 
 
 def build_line(at: float, event: str, **fields: Any) -> str:
@@ -133,7 +133,7 @@
         ('stalls', 'late', 1),
     ]
     said: list[str] = []
-    assert not tell_report([path], as_json=False, say=said.append)
+    assert not print_report([path], as_json=False, say=said.append)
     assert said[-1].startswith('lost: stalls 1 times in 0.3 s')
 
 
--- a/deckdrum/commands/working.py
+++ b/deckdrum/commands/work_summary.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Work:
+class WorkSummary:
     """Statements of one workspace to one group.
 
     Attributes
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Connections:
+class ConnectionSummary:
     """Connections to the servers of one group.
 
     Attributes
@@ -59,15 +59,15 @@
     reused_share: float
 
 
-def summarize_work(ordered: Iterable[LogLine]) -> tuple[Work, ...]:
+def summarize_work(ordered: Iterable[LogLine]) -> tuple[WorkSummary, ...]:
     """Return what became of statements, the most asked for first."""
     outcomes: defaultdict[tuple[str, str], Counter[str]] = defaultdict(Counter)
-    for line in _find_latest(ordered, _WORK):
+    for line in _find_last_per_run(ordered, _WORK):
         for key, number in line.fields['work'].items():
             group, owner, outcome = key.split('/')
             outcomes[group, owner][outcome] += number
     works = [
-        Work(service, workspace, counted.total(), dict(counted))
+        WorkSummary(service, workspace, counted.total(), dict(counted))
         for (service, workspace), counted in outcomes.items()
     ]
     return tuple(sorted(works, key=lambda work: -work.asked))
@@ -75,24 +75,26 @@
 
 def summarize_connections(
     ordered: Iterable[LogLine],
-) -> tuple[Connections, ...]:
+) -> tuple[ConnectionSummary, ...]:
     """Return what became of connections, by group."""
     totals: defaultdict[str, Counter[str]] = defaultdict(Counter)
-    for line in _find_latest(ordered, _CONNECTIONS):
+    for line in _find_last_per_run(ordered, _CONNECTIONS):
         for group, figures in line.fields['connections'].items():
             totals[group].update(figures)
     return tuple(
-        _make_connections(service, total)
+        _build_connection_summary(service, total)
         for service, total in sorted(totals.items())
     )
 
 
-def describe_work(work: Work) -> str:
+def describe_work(work: WorkSummary) -> str:
     """Return a line for a person.
 
     Examples
     --------
-    >>> describe_work(Work('stalls', 'growers', 7, {'done': 5, 'limit': 2}))
+    >>> describe_work(
+    ...     WorkSummary('stalls', 'growers', 7, {'done': 5, 'limit': 2})
+    ... )
     'work: stalls growers: 7 asked = 5 done + 2 limit'
     """
     parts = [
@@ -104,12 +106,12 @@
     return f'work: {work.service} {whose}: {work.asked} asked = {summed}'
 
 
-def describe_connections(connections: Connections) -> str:
+def describe_connections(connections: ConnectionSummary) -> str:
     """Return a line for a person.
 
     Examples
     --------
-    >>> describe_connections(Connections('stalls', 9, 1, 0, 0.9))
+    >>> describe_connections(ConnectionSummary('stalls', 9, 1, 0, 0.9))
     'connections: stalls: 0.9 found open (9), 1 opened, 0 closed for room'
     """
     return (
@@ -119,7 +121,7 @@
     )
 
 
-def _find_latest(ordered: Iterable[LogLine], event: str) -> list[LogLine]:
+def _find_last_per_run(ordered: Iterable[LogLine], event: str) -> list[LogLine]:
     """Return the last line of an event in each life of each node."""
     latest: dict[tuple[str, int], LogLine] = {}
     lives: Counter[str] = Counter()
@@ -131,14 +133,14 @@
     return list(latest.values())
 
 
-def _make_connections(
+def _build_connection_summary(
     service: str,
     total: Mapping[str, Any],
-) -> Connections:
+) -> ConnectionSummary:
     reused = total['reused']
     opened = total['opened']
     used = reused + opened
-    return Connections(
+    return ConnectionSummary(
         service,
         reused,
         opened,
--- a/deckdrum/control/tests/test_deaf_watches.py
+++ b/deckdrum/control/tests/test_deaf_watches.py
@@ -10,7 +10,7 @@
 from deckdrum.control import Changes, Entry, Kind
 from deckdrum.platform.records import KIND_NAMES
 from deckdrum.standins.users import DatabaseServer, StoreFault
-from deckdrum.testing.aims import CONTACT_TIME
+from deckdrum.testing.aims import MAX_RECOVERY_TIME_S
 from deckdrum.testing.nodes import Deployment, build_config, play
 
 #: Time limit for a change to reach every node, in seconds: half of the drain
@@ -61,7 +61,7 @@
         deployment.store.fault = StoreFault.SILENT
         await curio.sleep(2.5)
         deployment.store.fault = StoreFault.NONE
-        await curio.sleep(CONTACT_TIME)
+        await curio.sleep(MAX_RECOVERY_TIME_S)
         assert await _drain_replica(deployment) < PROPAGATION_TIMEOUT_S
 
     play(scenario, nodes=nodes, centres=centres, settle=3.0)
@@ -73,8 +73,8 @@
     centres: int,
 ) -> None:
     async def scenario(deployment: Deployment) -> None:
-        deployment.store.mute_watches()
-        await curio.sleep(CONTACT_TIME)
+        deployment.store.stall_pending_watches()
+        await curio.sleep(MAX_RECOVERY_TIME_S)
         assert await _drain_replica(deployment) < PROPAGATION_TIMEOUT_S
 
     play(scenario, nodes=nodes, centres=centres, settle=3.0)
@@ -82,8 +82,8 @@
 
 def test_configuration_is_applied_although_its_watch_is_silent() -> None:
     async def scenario(deployment: Deployment) -> None:
-        deployment.store.mute_watches()
-        await curio.sleep(CONTACT_TIME)
+        deployment.store.stall_pending_watches()
+        await curio.sleep(MAX_RECOVERY_TIME_S)
         await deployment.store.write('config', 'main', build_config(9))
         took = await deployment.wait_for(
             lambda: all(
--- a/deckdrum/control/tests/test_view.py
+++ b/deckdrum/control/tests/test_view.py
@@ -127,12 +127,12 @@
 
 def test_records_are_listed_again_when_the_history_is_gone() -> None:
     async def scenario(deployment: Deployment) -> None:
-        await deployment.store.forget_history()
+        await deployment.store.compact_history()
         routes = [build_route('db-new', 'primary')]
         config = build_config(9, routes=routes)
         deployment.store.page = 1
         await deployment.store.write('config', 'main', config)
-        await deployment.store.forget_history()
+        await deployment.store.compact_history()
         await deployment.wait_for(lambda: _count_active(deployment, 9) == 3)
         client = await deployment.connect('db-new')
         assert (await client.ask('WRITE a 1')).is_done
--- a/deckdrum/databases/__init__.py
+++ b/deckdrum/databases/__init__.py
@@ -4,7 +4,7 @@
     Database,
     DatabaseLink,
     DatabaseState,
-    QueryAnswer,
+    QueryResult,
     Role,
 )
 from deckdrum.databases.postgres import Credentials, PostgresDatabase
@@ -15,6 +15,6 @@
     'DatabaseLink',
     'DatabaseState',
     'PostgresDatabase',
-    'QueryAnswer',
+    'QueryResult',
     'Role',
 ]
--- a/deckdrum/databases/base.py
+++ b/deckdrum/databases/base.py
@@ -55,13 +55,13 @@
     fenced: int
     leaving: bool
 
-    def takes_part(self, term: int) -> bool:
+    def is_in_term(self, term: int) -> bool:
         """Tell whether it leads or follows `term` and no later one."""
         return self.term == term and self.fenced == term
 
 
 @dataclass(frozen=True, slots=True)
-class QueryAnswer:
+class QueryResult:
     """Answer to a query of the product's own.
 
     `sqlstate` is empty if the query succeeded.
@@ -97,11 +97,11 @@
         """Return a message that has already arrived, or None."""
 
     @abstractmethod
-    async def query(self, text: str) -> QueryAnswer:
+    async def query(self, text: str) -> QueryResult:
         """Run a simple query and return its whole answer."""
 
     @abstractmethod
-    async def read_answer(self) -> QueryAnswer:
+    async def read_answer(self) -> QueryResult:
         """Return the whole answer to a query that was sent."""
 
     @abstractmethod
@@ -132,7 +132,7 @@
         """Messages that ask for the state, to send behind a batch."""
 
     @abstractmethod
-    def decode_state(self, answer: QueryAnswer) -> DatabaseState | None:
+    def decode_state(self, answer: QueryResult) -> DatabaseState | None:
         """Return the state in an answer, or None if it is none."""
 
     @abstractmethod
--- a/deckdrum/databases/postgres.py
+++ b/deckdrum/databases/postgres.py
@@ -13,7 +13,7 @@
     Database,
     DatabaseLink,
     DatabaseState,
-    QueryAnswer,
+    QueryResult,
     Role,
 )
 from deckdrum.utils import Stream, dial
@@ -21,9 +21,9 @@
 from deckdrum.wire.messages import codec, decode_backend
 
 _MAX_MESSAGE_BYTES: Final = 1_000_000_000
-_MECHANISMS: Final = ('SCRAM-SHA-256',)
-_CANCEL_LIMIT: Final = 1.0
-_TRUE_WORDS: Final = frozenset(('1', 't', 'true'))
+_SCRAM_MECHANISMS: Final = ('SCRAM-SHA-256',)
+_CANCEL_TIMEOUT_S: Final = 1.0
+_TRUE_VALUES: Final = frozenset(('1', 't', 'true'))
 _STATE_QUERY: Final = 'SELECT * FROM deckdrum_state'
 _STATE_REQUEST: Final = codec.Query(query_string=_STATE_QUERY).to_wire()
 
@@ -70,7 +70,7 @@
     @property
     def is_usable(self) -> bool:
         """Whether the connection is open and nothing unread has arrived."""
-        return not self._reader.buffered and self._stream.is_quiet()
+        return not self._reader.buffered_bytes and self._stream.is_quiet()
 
     async def start(
         self,
@@ -93,7 +93,7 @@
             },
         )
         await self._stream.send(startup.to_wire())
-        login = _Login(self, credentials)
+        login = _ScramExchange(self, credentials)
         while True:
             frame = await self.read_frame()
             if frame.tag == tags.READY:
@@ -103,9 +103,9 @@
             if frame.tag == tags.AUTHENTICATION:
                 await login.answer(frame)
             elif frame.tag == tags.BACKEND_KEY:
-                self._note_key(frame)
+                self._record_cancel_key(frame)
             elif frame.tag == tags.PARAMETER:
-                self._note_parameter(frame)
+                self._record_parameter(frame)
 
     async def send(self, payload: bytes) -> None:
         """Send messages."""
@@ -122,15 +122,15 @@
         """Return a message that has already arrived, or None."""
         return self._reader.take_frame()
 
-    async def query(self, text: str) -> QueryAnswer:
+    async def query(self, text: str) -> QueryResult:
         """Run a simple query and return its whole answer."""
         await self.send(codec.Query(query_string=text).to_wire())
         return await self.read_answer()
 
-    async def read_answer(self) -> QueryAnswer:
+    async def read_answer(self) -> QueryResult:
         """Return the whole answer to a query that was sent."""
         rows: list[tuple[str | None, ...]] = []
-        failure = QueryAnswer()
+        failure = QueryResult()
         while True:
             frame = await self.read_frame()
             if frame.tag == tags.READY:
@@ -139,21 +139,21 @@
             if frame.tag == tags.DATA_ROW:
                 rows.append(_decode_row(frame))
             elif frame.tag == tags.PARAMETER:
-                self._note_parameter(frame)
+                self._record_parameter(frame)
             elif frame.tag == tags.ERROR:
                 fields = decode_backend(frame).fields
-                failure = QueryAnswer(
+                failure = QueryResult(
                     (),
                     fields['C'],
                     fields['M'],
                     fields.get('D', ''),
                 )
-        return failure if failure.sqlstate else QueryAnswer(rows)
+        return failure if failure.sqlstate else QueryResult(rows)
 
     async def cancel(self) -> None:
         """Ask the database to cancel what runs on this connection."""
         try:
-            stream = await dial(self._entry.endpoint, _CANCEL_LIMIT)
+            stream = await dial(self._entry.endpoint, _CANCEL_TIMEOUT_S)
         except ConnectionError:
             return
         try:
@@ -165,11 +165,11 @@
         """Close the connection; a second call does nothing."""
         await self._stream.close()
 
-    def _note_parameter(self, frame: Frame) -> None:
+    def _record_parameter(self, frame: Frame) -> None:
         message = decode_backend(frame)
         self.reported[message.name] = message.value
 
-    def _note_key(self, frame: Frame) -> None:
+    def _record_cancel_key(self, frame: Frame) -> None:
         key = decode_backend(frame, ConnectionPhase.INITIALIZATION)
         self._cancel_request = codec.CancelRequest(
             process_id=key.process_id,
@@ -177,13 +177,13 @@
         ).to_wire()
 
 
-class _Login:
+class _ScramExchange:
     """The SCRAM exchange of one connection."""
 
     def __init__(self, link: PostgresLink, credentials: Credentials) -> None:
         self._link = link
         self._client = scramp.ScramClient(
-            _MECHANISMS,
+            _SCRAM_MECHANISMS,
             credentials.user,
             credentials.password,
         )
@@ -199,7 +199,7 @@
     async def _step(self, message: Any) -> None:
         if isinstance(message, codec.AuthenticationSASL):
             first = codec.SASLInitialResponse(
-                mechanism=_MECHANISMS[0],
+                mechanism=_SCRAM_MECHANISMS[0],
                 data=self._client.get_client_first().encode(),
             )
             await self._link.send(first.to_wire())
@@ -240,7 +240,7 @@
         """Messages that ask for the state, to send behind a batch."""
         return _STATE_REQUEST
 
-    def decode_state(self, answer: QueryAnswer) -> DatabaseState | None:
+    def decode_state(self, answer: QueryResult) -> DatabaseState | None:
         """Return the state in an answer, or None if it is none."""
         if answer.sqlstate or not answer.rows:
             return None
@@ -254,7 +254,7 @@
             received,
             applied,
             fenced,
-            leaving in _TRUE_WORDS,
+            leaving in _TRUE_VALUES,
         )
 
     async def connect(self, limit: float) -> DatabaseLink:
--- a/deckdrum/databases/watch.py
+++ b/deckdrum/databases/watch.py
@@ -22,18 +22,18 @@
 from deckdrum.sessions import Position
 
 #: Time between probes while nobody waits, in seconds.
-IDLE_INTERVAL: Final = 0.1
+IDLE_PROBE_INTERVAL_S: Final = 0.1
 #: The same for a standby, which only has to notice a loss.
-STANDBY_INTERVAL: Final = 0.3
+STANDBY_PROBE_INTERVAL_S: Final = 0.3
 #: Longest wait for the answer to a probe, in seconds.
-PROBE_LIMIT: Final = 0.4
+STATE_PROBE_TIMEOUT_S: Final = 0.4
 #: Time between probes of a database that does not answer, in seconds.
-FAILURE_INTERVAL: Final = 0.1
+PROBE_RETRY_INTERVAL_S: Final = 0.1
 #: First and longest pause between probes that tell nothing new while a
 #: request waits, in seconds; doubled between.
-_FIRST_PAUSE: Final = 0.0005
+_MIN_PROBE_DELAY_S: Final = 0.0005
 _LONGEST_PAUSE: Final = 0.004
-_MOST_DOUBLINGS: Final = 10
+_MAX_DOUBLINGS: Final = 10
 _Found = TypeVar('_Found')
 
 
@@ -60,12 +60,12 @@
         self.failures = 0
         self.probes = 0
         #: Probes in a row that told nothing new.
-        self.repeats = 0
+        self.unchanged_probes = 0
         #: Requests that wait for a fresh state.
-        self.interest = 0
+        self.waiting_requests = 0
         #: Set when a request begins to wait for a fresh state.
         self.wanted = curio.Event()
-        self._begun_at: float = 0
+        self._first_probe_at: float = 0
         self._link: DatabaseLink | None = None
 
     @property
@@ -75,16 +75,16 @@
 
     def is_silent(self, now: float, limit: float) -> bool:
         """Tell whether the last `limit` seconds brought no answer."""
-        last = self.sample.started_at if self.sample else self._begun_at
+        last = self.sample.started_at if self.sample else self._first_probe_at
         return self.failures > 0 and now - last >= limit
 
     async def probe(self) -> bool:
         """Ask once; return whether an answer came."""
         started_at = await curio.clock()
-        self._begun_at = self._begun_at or started_at
+        self._first_probe_at = self._first_probe_at or started_at
         self.probes += 1
         try:
-            async with curio.timeout_after(PROBE_LIMIT):
+            async with curio.timeout_after(STATE_PROBE_TIMEOUT_S):
                 state = await self._ask()
         except (ConnectionError, curio.TaskTimeout):
             self.failures += 1
@@ -92,18 +92,18 @@
             return False
         self.failures = 0
         is_new = self.sample is None or self.sample.state != state
-        self.repeats = 0 if is_new else self.repeats + 1
+        self.unchanged_probes = 0 if is_new else self.unchanged_probes + 1
         self.sample = Sample(state, started_at)
         return True
 
-    def pick_pause(self, idle_interval: float) -> float:
+    def compute_probe_delay(self, idle_interval: float) -> float:
         """Return how long to rest before the next probe, in seconds."""
-        if not self.interest:
+        if not self.waiting_requests:
             return idle_interval
-        if self.repeats == 0:
+        if self.unchanged_probes == 0:
             return 0
-        exponent = min(self.repeats, _MOST_DOUBLINGS)
-        return min(_FIRST_PAUSE * float(2**exponent), _LONGEST_PAUSE)
+        exponent = min(self.unchanged_probes, _MAX_DOUBLINGS)
+        return min(_MIN_PROBE_DELAY_S * float(2**exponent), _LONGEST_PAUSE)
 
     async def close(self) -> None:
         """Close the probe's connection."""
@@ -113,7 +113,7 @@
 
     async def _ask(self) -> DatabaseState:
         if self._link is None:
-            self._link = await self.database.connect(PROBE_LIMIT)
+            self._link = await self.database.connect(STATE_PROBE_TIMEOUT_S)
         return await self.database.read_state(self._link)
 
 
@@ -132,9 +132,9 @@
         self.term = 0
         self.primary = ''
         #: Time between probes while nobody waits, in seconds.
-        self.idle_interval = IDLE_INTERVAL
+        self.idle_interval = IDLE_PROBE_INTERVAL_S
         self._changed = curio.Condition()
-        self._candidate: Sample | None = None
+        self._unconfirmed_sample: Sample | None = None
         self._tasks: list[Any] = []
 
     @property
@@ -154,7 +154,7 @@
     def adopt(self, term: int, primary: str) -> None:
         """Take over the agreed term and primary."""
         if term != self.term:
-            self._candidate = None
+            self._unconfirmed_sample = None
         self.term = term
         self.primary = primary
 
@@ -178,7 +178,7 @@
             return None
         return watcher.sample.state if watcher.sample else None
 
-    def sees_majority(self, now: float, limit: float) -> bool:
+    def can_reach_majority(self, now: float, limit: float) -> bool:
         """Tell whether a majority has answered within `limit` seconds."""
         silent = [
             watcher
@@ -209,9 +209,9 @@
         object or None
             What `check` gave, or None after `limit`.
         """
-        async with self._interested(names or self.watchers):
+        async with self._request_probes(names or self.watchers):
             async with curio.ignore_after(limit):
-                return await self._wait_changed(check)
+                return await self._wait_until_found(check)
         return None
 
     async def confirm(self, limit: float) -> Position | None:
@@ -228,17 +228,17 @@
             None if no majority reported within `limit` seconds.
         """
         began = await curio.clock()
-        confirmation = _Confirmation(self, began)
+        confirmation = _MajorityCheck(self, began)
         verdict = await self.wait_for(confirmation.check, limit)
         return None if verdict is None else verdict.position
 
     async def fetch_applied(self, name: str, limit: float) -> Position | None:
         """Return how far a database has applied, fetched from now on."""
         began = await curio.clock()
-        check = partial(_read_applied, self.watchers[name], began)
+        check = partial(_find_applied_position, self.watchers[name], began)
         return await self.wait_for(check, limit, (name,))
 
-    async def _wait_changed(
+    async def _wait_until_found(
         self,
         check: Callable[[], _Found | None],
     ) -> _Found:
@@ -250,16 +250,18 @@
                 await self._changed.wait()
 
     @asynccontextmanager
-    async def _interested(self, names: Iterable[str]) -> AsyncIterator[None]:
+    async def _request_probes(
+        self, names: Iterable[str]
+    ) -> AsyncIterator[None]:
         watchers = [self.watchers[name] for name in names]
         for watcher in watchers:
-            watcher.interest += 1
+            watcher.waiting_requests += 1
             await watcher.wanted.set()
         try:
             yield
         finally:
             for watcher in watchers:
-                watcher.interest -= 1
+                watcher.waiting_requests -= 1
 
     async def _run(self, watcher: Watcher) -> None:
         while True:
@@ -269,46 +271,51 @@
             async with self._changed:
                 await self._changed.notify_all()
             if not is_answered:
-                await curio.sleep(FAILURE_INTERVAL)
+                await curio.sleep(PROBE_RETRY_INTERVAL_S)
                 continue
             async with curio.ignore_after(
-                watcher.pick_pause(self.idle_interval)
+                watcher.compute_probe_delay(self.idle_interval)
             ):
                 await watcher.wanted.wait()
 
     def _note(self, watcher: Watcher) -> None:
         """Extend the history once a majority backs a probe of the primary."""
-        if self._candidate is None and watcher.database.name == self.primary:
-            self._candidate = _read_leading(watcher.sample, self.term)
-        candidate = self._candidate
+        if (
+            self._unconfirmed_sample is None
+            and watcher.database.name == self.primary
+        ):
+            self._unconfirmed_sample = _find_primary_sample(
+                watcher.sample, self.term
+            )
+        candidate = self._unconfirmed_sample
         if candidate is None:
             return
         backing = [
             each
             for each in self.watchers.values()
-            if has_vote(each.sample, self.term, candidate.started_at)
+            if was_in_term_since(each.sample, self.term, candidate.started_at)
         ]
         if len(backing) >= self.majority:
-            self._candidate = None
+            self._unconfirmed_sample = None
             offset = candidate.state.received
             self.history.note(self.term, offset, candidate.started_at)
 
 
-def has_vote(sample: Sample | None, term: int, since: float) -> bool:
+def was_in_term_since(sample: Sample | None, term: int, since: float) -> bool:
     """Tell whether a database took part in `term` at `since` or later."""
     if sample is None or sample.started_at < since:
         return False
-    return sample.state.takes_part(term)
+    return sample.state.is_in_term(term)
 
 
 @dataclass(frozen=True, slots=True)
-class _Verdict:
+class _ConfirmationResult:
     """Outcome of a confirmation; no position if the term has ended."""
 
     position: Position | None
 
 
-class _Confirmation:
+class _MajorityCheck:
     """One wait for a majority."""
 
     def __init__(self, watch: ServiceWatch, began: float) -> None:
@@ -317,45 +324,47 @@
         self._term = watch.term
         self._target: int | None = None
 
-    def check(self) -> _Verdict | None:
+    def check(self) -> _ConfirmationResult | None:
         """Return the verdict once there is one."""
         if self._watch.term != self._term:
-            return _Verdict(None)
+            return _ConfirmationResult(None)
         if self._target is None:
-            self._target = self._read_target()
+            self._target = self._find_target()
         if self._target is None:
             return None
         votes = [
             watcher
             for watcher in self._watch.watchers.values()
-            if self._has_vote(watcher.sample, self._target)
+            if self._holds_target(watcher.sample, self._target)
         ]
         if len(votes) < self._watch.majority:
             return None
-        return _Verdict(Position(self._term, self._target))
+        return _ConfirmationResult(Position(self._term, self._target))
 
-    def _read_target(self) -> int | None:
+    def _find_target(self) -> int | None:
         watcher = self._watch.watchers.get(self._watch.primary)
         if watcher is None:
             return None
-        leading = _read_leading(watcher.sample, self._term)
+        leading = _find_primary_sample(watcher.sample, self._term)
         if leading is None or leading.started_at < self._began:
             return None
         return leading.state.received
 
-    def _has_vote(self, sample: Sample | None, target: int) -> bool:
-        if sample is None or not has_vote(sample, self._term, self._began):
+    def _holds_target(self, sample: Sample | None, target: int) -> bool:
+        if sample is None or not was_in_term_since(
+            sample, self._term, self._began
+        ):
             return False
         return sample.state.received >= target
 
 
-def _read_leading(sample: Sample | None, term: int) -> Sample | None:
+def _find_primary_sample(sample: Sample | None, term: int) -> Sample | None:
     if sample is None or sample.state.role is not Role.PRIMARY:
         return None
-    return sample if sample.state.takes_part(term) else None
+    return sample if sample.state.is_in_term(term) else None
 
 
-def _read_applied(watcher: Watcher, since: float) -> Position | None:
+def _find_applied_position(watcher: Watcher, since: float) -> Position | None:
     sample = watcher.sample
     if sample is None or sample.started_at < since:
         return None
--- a/deckdrum/failover/driver.py
+++ b/deckdrum/failover/driver.py
@@ -27,18 +27,18 @@
 from deckdrum.utils import Journal
 
 #: Longest wait for one step on one database, in seconds.
-STEP_LIMIT: Final = 0.5
+STEP_TIMEOUT_S: Final = 0.5
 #: Pause before a step is tried again, in seconds.
-STEP_PAUSE: Final = 0.1
+STEP_RETRY_DELAY_S: Final = 0.1
 #: Tries to promote before the failover begins again with another majority.
-PROMOTE_TRIES: Final = 4
+MAX_PROMOTION_ATTEMPTS: Final = 4
 #: Bits of an operation id.
 _OPERATION_BITS: Final = 128
 #: Longest wait for a successor to catch up, in seconds.
-HANDOVER_LIMIT: Final = 2.0
-_HANDOVER_POLL: Final = 0.01
+HANDOVER_TIMEOUT_S: Final = 2.0
+_HANDOVER_POLL_INTERVAL_S: Final = 0.01
 #: Longest time that one driver tries, in seconds; then another may.
-DRIVE_LIMIT: Final = 8.0
+FAILOVER_TIMEOUT_S: Final = 8.0
 
 
 @dataclass(slots=True)
@@ -59,14 +59,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fenced:
+class FencedDatabase:
     """A database that accepted the fence, and its state."""
 
     database: Database
     state: DatabaseState
 
     @property
-    def reach(self) -> tuple[int, int]:
+    def log_position(self) -> tuple[int, int]:
         """How far the log reaches: its last term and offset."""
         return (self.state.term, self.state.received)
 
@@ -75,11 +75,11 @@
 class Handover:
     """How a primary that still answers gives way.
 
-    `has_successor` tells whether a database that is to stay has received
+    `is_successor_ready` tells whether a database that is to stay has received
     the log up to an offset; `unwanted` are the names of those that leave.
     """
 
-    has_successor: Callable[[int], bool]
+    is_successor_ready: Callable[[int], bool]
     unwanted: frozenset[str]
 
 
@@ -114,7 +114,7 @@
         self._journal = journal
         self._randomness = randomness
 
-    async def drive(
+    async def run_failover(
         self,
         held: VersionedRecord,
         report: FailoverReport,
@@ -137,7 +137,7 @@
             Whether this driver settled the record; False if another driver
             was first, the platform is out or no majority can be fenced.
         """
-        async with curio.ignore_after(DRIVE_LIMIT):
+        async with curio.ignore_after(FAILOVER_TIMEOUT_S):
             try:
                 return await self._drive(held, report, handover)
             except StoreError as error:
@@ -158,13 +158,13 @@
         unwanted = handover.unwanted if handover else frozenset()
         fenced = await self._fence_majority(report, unwanted)
         report.phases['fence'] = await curio.clock()
-        leader = choose_leader(fenced, unwanted)
+        leader = choose_promotion_candidate(fenced, unwanted)
         chosen = await self._promote(leader, report.term)
         if chosen is None:
             return False
         report.promoted = chosen.name
         report.phases['promote'] = await curio.clock()
-        await self._direct_others(chosen.name, report.term)
+        await self._repoint_replicas(chosen.name, report.term)
         is_settled = await self._settle(claim, chosen.name)
         report.phases['settle'] = await curio.clock()
         self._journal.record(
@@ -211,20 +211,20 @@
         database that is to stay reaches its end before it is fenced too.
         """
         old = self._databases[report.lost]
-        state = await _call_step(old, 'fence', report.term)
+        state = await _run_step(old, 'fence', report.term)
         if state is None:
             return
         end = state.received
-        async with curio.ignore_after(HANDOVER_LIMIT):
-            while not handover.has_successor(end):
-                await curio.sleep(_HANDOVER_POLL)
+        async with curio.ignore_after(HANDOVER_TIMEOUT_S):
+            while not handover.is_successor_ready(end):
+                await curio.sleep(_HANDOVER_POLL_INTERVAL_S)
         report.phases['hand over'] = await curio.clock()
 
     async def _fence_majority(
         self,
         report: FailoverReport,
         unwanted: frozenset[str],
-    ) -> list[Fenced]:
+    ) -> list[FencedDatabase]:
         """Fence until a majority has accepted, without the excluded one.
 
         One round waits for a database that is to stay, so that a planned
@@ -236,22 +236,22 @@
             for name, database in self._databases.items()
             if name != report.excluded
         ]
-        fenced: dict[str, Fenced] = {}
+        fenced: dict[str, FencedDatabase] = {}
         while len(fenced) < majority:
             async with curio.TaskGroup() as tasks:
                 for database in asked:
                     await tasks.spawn(_fence, database, report.term)
-                await _gather(tasks, fenced, majority, unwanted)
+                await _collect_fenced(tasks, fenced, majority, unwanted)
             if len(fenced) < majority:
-                await curio.sleep(STEP_PAUSE)
+                await curio.sleep(STEP_RETRY_DELAY_S)
         return list(fenced.values())
 
-    async def _direct_others(self, primary: str, term: int) -> None:
+    async def _repoint_replicas(self, primary: str, term: int) -> None:
         """Have the others follow at once: a majority needs one of them."""
         for database in self._databases.values():
             if database.name != primary:
                 await curio.spawn(
-                    direct_follower,
+                    repoint_replica,
                     database,
                     primary,
                     term,
@@ -260,15 +260,15 @@
 
     async def _promote(
         self,
-        leader: Fenced,
+        leader: FencedDatabase,
         term: int,
     ) -> Database | None:
         """Promote a database; asking it twice does no harm."""
-        for _ in range(PROMOTE_TRIES):
-            state = await _call_step(leader.database, 'promote', term)
+        for _ in range(MAX_PROMOTION_ATTEMPTS):
+            state = await _run_step(leader.database, 'promote', term)
             if state is not None:
                 return leader.database
-            await curio.sleep(STEP_PAUSE)
+            await curio.sleep(STEP_RETRY_DELAY_S)
         return None
 
     async def _settle(self, claim: VersionedRecord, primary: str) -> bool:
@@ -281,22 +281,24 @@
             try:
                 return await self._view.put_record(record, claim.version)
             except StoreError:
-                await curio.sleep(STEP_PAUSE)
+                await curio.sleep(STEP_RETRY_DELAY_S)
 
     def _make_operation(self) -> str:
         number = self._randomness.getrandbits(_OPERATION_BITS)
         return str(uuid.UUID(int=number))
 
 
-def choose_leader(fenced: Iterable[Fenced], unwanted: Container[str]) -> Fenced:
+def choose_promotion_candidate(
+    fenced: Iterable[FencedDatabase], unwanted: Container[str]
+) -> FencedDatabase:
     """Return the database to promote: the furthest, wanted if possible.
 
     Only a furthest one may lead: a lesser one could lack a confirmed change
     that the furthest alone among the fenced holds.
     """
     known = list(fenced)
-    reach = max(each.reach for each in known)
-    furthest = [each for each in known if each.reach == reach]
+    log_position = max(each.log_position for each in known)
+    furthest = [each for each in known if each.log_position == log_position]
     return min(
         furthest,
         key=lambda each: (
@@ -306,29 +308,29 @@
     )
 
 
-async def _gather(
+async def _collect_fenced(
     tasks: Any,
-    fenced: dict[str, Fenced],
+    fenced: dict[str, FencedDatabase],
     majority: int,
     unwanted: frozenset[str],
 ) -> None:
     """Collect fenced databases until they are enough."""
     async for task in tasks:
-        if isinstance(task.result, Fenced):
+        if isinstance(task.result, FencedDatabase):
             fenced[task.result.database.name] = task.result
         if len(fenced) >= majority and fenced.keys() - unwanted:
             await tasks.cancel_remaining()
             return
 
 
-async def _fence(database: Database, term: int) -> Fenced | None:
-    state = await _call_step(database, 'fence', term)
+async def _fence(database: Database, term: int) -> FencedDatabase | None:
+    state = await _run_step(database, 'fence', term)
     if state is None or state.fenced != term:
         return None
-    return Fenced(database, state)
+    return FencedDatabase(database, state)
 
 
-async def _call_step(
+async def _run_step(
     database: Database,
     step: str,
     term: int,
@@ -336,8 +338,8 @@
     """Take one step on a database over a connection of its own."""
     link: Any = None
     try:
-        async with curio.timeout_after(STEP_LIMIT):
-            link = await database.connect(STEP_LIMIT)
+        async with curio.timeout_after(STEP_TIMEOUT_S):
+            link = await database.connect(STEP_TIMEOUT_S)
             state: DatabaseState | None = await getattr(database, step)(
                 link,
                 term,
@@ -350,7 +352,7 @@
     return state
 
 
-async def direct_follower(
+async def repoint_replica(
     database: Database,
     primary: str,
     term: int,
@@ -358,8 +360,8 @@
     """Have a database replicate from `primary`; tell whether it does."""
     link: Any = None
     try:
-        async with curio.timeout_after(STEP_LIMIT):
-            link = await database.connect(STEP_LIMIT)
+        async with curio.timeout_after(STEP_TIMEOUT_S):
+            link = await database.connect(STEP_TIMEOUT_S)
             state = await database.follow(link, primary, term)
     except (ConnectionError, curio.TaskTimeout):
         return False
--- a/deckdrum/failover/tests/test_driver.py
+++ b/deckdrum/failover/tests/test_driver.py
@@ -1,10 +1,10 @@
-"""Which database leads next."""
+"""Choice of the database to promote."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from deckdrum.databases import Credentials, PostgresDatabase
-from deckdrum.failover.driver import Fenced, choose_leader
+from deckdrum.failover.driver import FencedDatabase, choose_promotion_candidate
 from deckdrum.testing.builders import build_entry, build_state
 
 STATES = st.builds(
@@ -15,27 +15,30 @@
 )
 
 
-def make_fenced(states: list[object]) -> list[Fenced]:
+def make_fenced(states: list[object]) -> list[FencedDatabase]:
     credentials = Credentials('u', 'p', 'a')
     return [
-        Fenced(PostgresDatabase(build_entry(f'd{place}'), credentials), state)  # type: ignore[arg-type]
-        for place, state in enumerate(states)
+        FencedDatabase(
+            PostgresDatabase(build_entry(f'd{index}'), credentials),
+            state,  # type: ignore[arg-type]
+        )
+        for index, state in enumerate(states)
     ]
 
 
 @settings(derandomize=True)
 @given(st.lists(STATES, min_size=1, max_size=5), st.sets(st.integers(0, 4)))
-def test_the_leader_is_always_a_furthest(
+def test_candidate_has_the_most_advanced_log(
     states: list[object],
-    unwanted: set[int],
+    leaving: set[int],
 ) -> None:
     fenced = make_fenced(states)
-    names = {f'd{place}' for place in unwanted}
-    leader = choose_leader(fenced, names)
-    assert leader.reach == max(each.reach for each in fenced)
+    names = {f'd{index}' for index in leaving}
+    candidate = choose_promotion_candidate(fenced, names)
+    assert candidate.log_position == max(each.log_position for each in fenced)
 
 
-def test_among_the_furthest_one_that_stays_leads() -> None:
+def test_leaving_database_is_not_preferred_among_equals() -> None:
     states = [build_state(received=7), build_state(received=7)]
-    leader = choose_leader(make_fenced(list(states)), {'d0'})
-    assert leader.database.name == 'd1'
+    candidate = choose_promotion_candidate(make_fenced(list(states)), {'d0'})
+    assert candidate.database.name == 'd1'
--- a/deckdrum/fleet/borrowing.py
+++ b/deckdrum/fleet/borrowing.py
@@ -27,7 +27,7 @@
 from deckdrum.fleet.peers import StreamPool
 from deckdrum.outcomes.errors import BrokenInvariantError
 from deckdrum.utils import ByteStream
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 
 #: Time allowed for a lender's answer in addition to the wait in its queue.
 LENDER_REPLY_MARGIN_S: Final = 0.15
@@ -55,7 +55,7 @@
     node has a pseudorandom order of its own, which spreads the load.
     """
     is_remote = lender.data_centre != own.data_centre
-    return is_remote, weigh(own.name, lender.name)
+    return is_remote, compute_rendezvous_rank(own.name, lender.name)
 
 
 class BorrowedStream(ByteStream):
--- a/deckdrum/fleet/detours.py
+++ b/deckdrum/fleet/detours.py
@@ -118,12 +118,12 @@
                 DIAL_TIMEOUT_S,
             )
         except ConnectionError as error:
-            self._journal.record_often(
+            self._journal.record_rate_limited(
                 'detour.refused', server=server.id, reason=str(error)
             )
             await channel.send(DetourOpened(is_open=False))
             return
-        self._journal.record_often('detour.opened', server=server.id)
+        self._journal.record_rate_limited('detour.opened', server=server.id)
         self.open += 1
         try:
             await channel.send(DetourOpened(is_open=True))
--- a/deckdrum/fleet/following.py
+++ b/deckdrum/fleet/following.py
@@ -17,7 +17,7 @@
 from deckdrum.fleet.node_peers import ASK_TIMEOUT_S, NodePeers
 from deckdrum.fleet.settings import NodeSettings
 from deckdrum.utils import Journal
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 
 #: Smallest number of nodes in a data centre for which some follow others.  With
 #: fewer, watching is cheap and gives each node the shortest delay.
@@ -138,7 +138,7 @@
         ]
         return min(
             candidates,
-            key=lambda member: weigh(own, member.name),
+            key=lambda member: compute_rendezvous_rank(own, member.name),
             default=None,
         )
 
@@ -163,4 +163,6 @@
     The result is the same on all nodes that know the same members.
     """
     count = max(MIN_FEEDERS, len(names) // NODES_PER_FEEDER)
-    return sorted(names, key=partial(weigh, _RANK_KEY))[:count]
+    return sorted(names, key=partial(compute_rendezvous_rank, _RANK_KEY))[
+        :count
+    ]
--- a/deckdrum/fleet/health.py
+++ b/deckdrum/fleet/health.py
@@ -97,7 +97,7 @@
         if peer.name in self._unresponsive:
             return
         self._unresponsive[peer.name] = error
-        self._journal.record_often(
+        self._journal.record_rate_limited(
             'peer.silent',
             peer=peer.name,
             reason=repr(error),
--- a/deckdrum/fleet/tests/test_health.py
+++ b/deckdrum/fleet/tests/test_health.py
@@ -13,7 +13,7 @@
     PeerHealth,
 )
 from deckdrum.utils import Address
-from deckdrum.utils.journal import silent_journal
+from deckdrum.utils.journal import open_null_journal
 from deckdrum.utils.virtualtime import run_virtual
 
 PEERS = [
@@ -47,7 +47,7 @@
 
     async def main() -> None:
         network = Network()
-        health = PeerHealth(network.ask, silent_journal('n0'))
+        health = PeerHealth(network.ask, open_null_journal('n0'))
         health.set_required_peers('stalls', PEERS[:2])
         health.set_required_peers('payouts', PEERS[1:])
         await scenario(network, health)
--- a/deckdrum/forwarding/encoding.py
+++ b/deckdrum/forwarding/encoding.py
@@ -19,7 +19,7 @@
     Rollback,
     Run,
     SetValue,
-    Standing,
+    TransactionState,
 )
 from deckdrum.outcomes import Code, Refusal
 from deckdrum.outcomes.codes import CODES
@@ -192,7 +192,9 @@
         If its code is unknown.
     """
     if not message.code:
-        standing = Standing.OPEN if message.is_open else Standing.IDLE
+        standing = (
+            TransactionState.OPEN if message.is_open else TransactionState.IDLE
+        )
         return Answer(
             tuple(message.rows),
             message.text,
--- a/deckdrum/forwarding/handler.py
+++ b/deckdrum/forwarding/handler.py
@@ -30,7 +30,7 @@
 )
 from deckdrum.serving.runners import StatementRunner
 from deckdrum.serving.state import SessionState, Transaction
-from deckdrum.sessions.position import NOWHERE
+from deckdrum.sessions.position import LOG_START
 from deckdrum.utils.counters import Counters
 from deckdrum.workspaces import Workspace
 
@@ -178,7 +178,7 @@
         session = CallerSession(host, route.database, message.fingerprint)
         session.state.workspace = message.workspace
         session.state.values = dict(message.values)
-        session.state.floor = decode_position(message.floor) or NOWHERE
+        session.state.floor = decode_position(message.floor) or LOG_START
         begin = decode_begin(message)
         if begin is not None:
             session.state.transaction = Transaction(begin.read_only, route)
--- a/deckdrum/forwarding/sending.py
+++ b/deckdrum/forwarding/sending.py
@@ -421,7 +421,7 @@
         return refuse(Code.CONNECTION_LOST, reason)
 
     def _log(self, request: Request, reason: str) -> None:
-        self._runtime.journal.record_often(
+        self._runtime.journal.record_rate_limited(
             'forward.refused',
             request=request.id,
             service=self._runtime.name,
--- a/deckdrum/forwarding/tests/test_encoding.py
+++ b/deckdrum/forwarding/tests/test_encoding.py
@@ -34,7 +34,7 @@
     Rollback,
     Run,
     SetValue,
-    Standing,
+    TransactionState,
 )
 from deckdrum.outcomes import Code, refuse
 from deckdrum.serving.state import PreparedStatement, SessionState
@@ -90,8 +90,8 @@
 @pytest.mark.parametrize(
     'outcome',
     [
-        Answer(('a', 'b'), '7.1f3', Standing.OPEN, Position(3, 8)),
-        Answer((), '-', Standing.OPEN),
+        Answer(('a', 'b'), '7.1f3', TransactionState.OPEN, Position(3, 8)),
+        Answer((), '-', TransactionState.OPEN),
         refuse(Code.QUEUE_TIMEOUT, 'no room', 0.3),
         refuse(Code.CONNECTION_LOST, 'gone'),
     ],
--- a/deckdrum/forwarding/tests/test_forwarding.py
+++ b/deckdrum/forwarding/tests/test_forwarding.py
@@ -7,7 +7,7 @@
 from deckdrum.testing.nodes import (
     BOUNDED,
     CURRENT,
-    OWN,
+    OWN_WRITES,
     SERVICE,
     Deployment,
     Reply,
@@ -61,7 +61,7 @@
         holders = _list_holders(deployment)
         assert len(holders) == 3
         for number in range(NODES):
-            for database in (CURRENT, BOUNDED, OWN):
+            for database in (CURRENT, BOUNDED, OWN_WRITES):
                 client = await deployment.connect(database, node=number)
                 assert (await client.ask('READ a')).is_done
         for number, running in enumerate(deployment.nodes):
@@ -74,7 +74,7 @@
 
 def test_session_values_prepared_statements_and_own_writes_are_kept() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await deployment.connect(OWN, _find_caller(deployment))
+        client = await deployment.connect(OWN_WRITES, _find_caller(deployment))
         await client.ask('SET colour red')
         await client.ask('PREPARE s1 WRITE q1')
         await client.ask('PREPARE s2 READ q2')
--- a/deckdrum/invariants/changes.py
+++ b/deckdrum/invariants/changes.py
@@ -7,8 +7,12 @@
 
 from deckdrum.bench.client import Client
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.bench.history import History, Told, read_told
-from deckdrum.bench.workload import Load, Pace, create_table, read_rows
+from deckdrum.bench.history import (
+    History,
+    ReportedOutcome,
+    parse_reported_outcome,
+)
+from deckdrum.bench.workload import Load, LoadProfile, create_table, read_rows
 from deckdrum.standins.database import StandinDatabase
 
 _SERVICE: Final = 'stalls'
@@ -16,11 +20,11 @@
 _STEPS: Final = 10
 _PAUSE: Final = 0.02
 #: Moments of a write's life at which the primary is crashed, in seconds.
-_MOMENTS: Final = tuple(step / 1000 for step in range(_STEPS))
-_PACE: Final = Pace(pause=_PAUSE, reads_each=0)
+_CRASH_TIMES_S: Final = tuple(step / 1000 for step in range(_STEPS))
+_PACE: Final = LoadProfile(pause=_PAUSE, reads_each=0)
 
 
-async def keep_acknowledged() -> list[str]:
+async def check_acknowledged_writes() -> list[str]:
     """Cut a primary off with its keeper while it still takes writes.
 
     The other databases and proxies replace it; what it took afterwards must
@@ -57,18 +61,18 @@
     primary.faults.cut_from.update(others - {primary.name}, proxies)
 
 
-async def tell_truth_when_cut() -> list[str]:
+async def check_reported_outcomes() -> list[str]:
     """Crash the primary at every moment of a write's life."""
     broken: list[str] = []
-    for moment in _MOMENTS:
+    for moment in _CRASH_TIMES_S:
         broken.extend(await _crash_after(moment, is_once=False))
     return broken
 
 
-async def run_once_at_most() -> list[str]:
+async def check_at_most_once() -> list[str]:
     """Crash the primary under changes that must not be repeated."""
     broken: list[str] = []
-    for moment in _MOMENTS:
+    for moment in _CRASH_TIMES_S:
         broken.extend(await _crash_after(moment, is_once=True))
     return broken
 
@@ -96,9 +100,11 @@
 
 
 async def _write(client: Client, number: int, history: History) -> None:
-    history.note_write(number, Told.UNKNOWN)
+    history.record_write(number, ReportedOutcome.UNKNOWN)
     insert = f"INSERT INTO bookings VALUES ({number}, 'w')"
-    history.note_write(number, read_told(await client.run(insert)))
+    history.record_write(
+        number, parse_reported_outcome(await client.run(insert))
+    )
     await client.close()
 
 
--- a/deckdrum/invariants/combinations.py
+++ b/deckdrum/invariants/combinations.py
@@ -9,15 +9,15 @@
 import curio
 
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.bench.workload import Load, Pace, create_table, read_rows
+from deckdrum.bench.workload import Load, LoadProfile, create_table, read_rows
 from deckdrum.standins.database import StandinDatabase
 
 _SERVICE: Final = 'stalls'
 _PROXIES: Final = 4
 _CALLERS: Final = 4
 _PAUSE: Final = 0.05
-_PACE: Final = Pace(pause=_PAUSE)
-_AFTERWARDS: Final = 4.0
+_PACE: Final = LoadProfile(pause=_PAUSE)
+_RECOVERY_TIME_S: Final = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
 
 
 _Bring = Callable[[Deployment, Fault], Awaitable[None]]
-KINDS: Final[Mapping[str, _Bring]] = MappingProxyType(
+FAULT_INJECTORS: Final[Mapping[str, _Bring]] = MappingProxyType(
     {
         'crash': crash,
         'pause': pause,
@@ -104,7 +104,7 @@
 )
 
 
-async def endure(faults: Sequence[Fault]) -> list[str]:
+async def run_faults(faults: Sequence[Fault]) -> list[str]:
     """Bring the faults about under load; return the promises broken."""
     layout = Layout(services=(_SERVICE,), proxies=_PROXIES)
     deployment = Deployment(layout)
@@ -114,14 +114,14 @@
     await load.start(_CALLERS)
     async with curio.TaskGroup() as tasks:
         for fault in faults:
-            await tasks.spawn(_bring_later, deployment, fault)
-    await curio.sleep(_AFTERWARDS)
+            await tasks.spawn(_inject_later, deployment, fault)
+    await curio.sleep(_RECOVERY_TIME_S)
     history = await load.finish()
     broken = history.check_rows(read_rows(deployment, _SERVICE))
     await deployment.close()
     return broken
 
 
-async def _bring_later(deployment: Deployment, fault: Fault) -> None:
+async def _inject_later(deployment: Deployment, fault: Fault) -> None:
     await curio.sleep(fault.starts)
-    await KINDS[fault.kind](deployment, fault)
+    await FAULT_INJECTORS[fault.kind](deployment, fault)
--- a/deckdrum/invariants/operations.py
+++ b/deckdrum/invariants/operations.py
@@ -6,7 +6,7 @@
 import curio
 
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.bench.workload import Load, Pace, create_table
+from deckdrum.bench.workload import Load, LoadProfile, create_table
 from deckdrum.store import Instance, InstanceState
 from deckdrum.store.records import ConfigurationRecord
 
@@ -14,18 +14,18 @@
 _CALLERS: Final = 4
 #: Pause of a caller between two rounds, in seconds.
 _PAUSE: Final = 0.05
-_PACE: Final = Pace(pause=_PAUSE, reads_each=2)
+_PACE: Final = LoadProfile(pause=_PAUSE, reads_each=2)
 _POLL: Final = 0.01
-_SHORT_WHILE: Final = 0.2
-_TURNS: Final = 400
+_BUSY_TIME_S: Final = 0.2
+_MAX_TRANSACTIONS: Final = 400
 _LEAVING: Final = ('stalls-1', 'stalls-2')
 #: Longest time that work may still go to a leaving database, in seconds.
-LEAVING_LIMIT: Final = 4.0
+LEAVING_TIMEOUT_S: Final = 4.0
 #: Longest time until a configuration is in force everywhere, in seconds.
-IN_FORCE_LIMIT: Final = 5.0
+ROLLOUT_TIMEOUT_S: Final = 5.0
 
 
-async def leave_alone_the_leaving() -> list[str]:
+async def check_leaving_servers() -> list[str]:
     """List a replica as leaving while callers read."""
     deployment = Deployment(Layout(services=_ONE_SERVICE))
     await deployment.start()
@@ -35,7 +35,7 @@
     await curio.sleep(1)
     for name in _LEAVING:
         await _list_leaving(deployment, name)
-    await curio.sleep(LEAVING_LIMIT)
+    await curio.sleep(LEAVING_TIMEOUT_S)
     before = _count_work(deployment)
     await curio.sleep(2)
     after = _count_work(deployment)
@@ -67,13 +67,13 @@
     """Return the requests that each database has been given."""
     counts = dict.fromkeys(deployment.databases, 0)
     for proxy in deployment.proxies.values():
-        for keeper in proxy.keeping.keepers.values():
+        for keeper in proxy.keeper_manager.keepers.values():
             for name, pool in keeper.pools.items():
                 counts[name] += pool.queue.granted_count
     return counts
 
 
-async def stop_without_cutting() -> list[str]:
+async def check_graceful_shutdown() -> list[str]:
     """Stop proxies one after the other while callers are busy."""
     deployment = Deployment(Layout(services=_ONE_SERVICE, proxies=4))
     await deployment.start()
@@ -82,8 +82,14 @@
     async with curio.TaskGroup() as tasks:
         for number in range(_CALLERS * 2):
             name = f'p{number % 2 + 1}'
-            await tasks.spawn(_stay_busy, deployment, name, number, broken)
-        await curio.sleep(_SHORT_WHILE)
+            await tasks.spawn(
+                _run_transactions_until_drained,
+                deployment,
+                name,
+                number,
+                broken,
+            )
+        await curio.sleep(_BUSY_TIME_S)
         for name in ('p1', 'p2'):
             if not await deployment.proxies[name].drain():
                 broken.append(f'{name} did not drain in time')
@@ -92,7 +98,7 @@
     return broken
 
 
-async def _stay_busy(
+async def _run_transactions_until_drained(
     deployment: Deployment,
     proxy: str,
     number: int,
@@ -106,7 +112,7 @@
         'SELECT pg_sleep(0.05)',
         'COMMIT',
     )
-    for _ in range(_TURNS):
+    for _ in range(_MAX_TRANSACTIONS):
         for place, statement in enumerate(statements):
             try:
                 answer = await client.run(statement)
@@ -122,20 +128,20 @@
     broken.append(f'caller {number} was never told to leave')
 
 
-async def stay_in_force() -> list[str]:
+async def check_configuration_order() -> list[str]:
     """Apply while the platform fails; bring old configurations back."""
     deployment = Deployment(Layout(services=_ONE_SERVICE))
     await deployment.start()
     text = deployment.describe()
     broken: list[str] = []
     seen: dict[str, int] = {}
-    watching = await curio.spawn(_watch_numbers, deployment, seen, broken)
+    watching = await curio.spawn(_watch_versions, deployment, seen, broken)
     await deployment.apply(text.replace('max_age: 5', 'max_age: 4'), number=2)
-    broken.extend(await _expect_everywhere(deployment, 2))
+    broken.extend(await _check_in_force_everywhere(deployment, 2))
     broken.extend(await _pass_outage(deployment, text))
     await deployment.apply(text.replace('max_age: 5', 'max_age: 3'), number=3)
-    await curio.sleep(IN_FORCE_LIMIT)
-    broken.extend(await _expect_everywhere(deployment, 3))
+    await curio.sleep(ROLLOUT_TIMEOUT_S)
+    broken.extend(await _check_in_force_everywhere(deployment, 3))
     await watching.cancel()
     await deployment.close()
     return broken
@@ -146,16 +152,16 @@
     faults = deployment.platform.faults
     faults.down = True
     await curio.sleep(1)
-    await _offer_old(deployment, text)
+    await _apply_old_configuration(deployment, text)
     # The late proxy must get everything from a peer.
     membership = deployment.proxies['p1'].membership
     await deployment.start_proxy(9, peers=(membership.own.address,))
-    broken = await _expect_everywhere(deployment, 2)
+    broken = await _check_in_force_everywhere(deployment, 2)
     faults.down = False
     return broken
 
 
-async def _offer_old(deployment: Deployment, text: str) -> None:
+async def _apply_old_configuration(deployment: Deployment, text: str) -> None:
     """Give proxies a configuration that was in force before."""
     old = ConfigurationRecord(
         number=1,
@@ -167,7 +173,7 @@
         await proxy.view.adopt_configuration(old)
 
 
-async def _watch_numbers(
+async def _watch_versions(
     deployment: Deployment,
     seen: dict[str, int],
     broken: list[str],
@@ -180,11 +186,11 @@
         await curio.sleep(_POLL)
 
 
-async def _expect_everywhere(
+async def _check_in_force_everywhere(
     deployment: Deployment,
     number: int,
 ) -> list[str]:
-    async with curio.ignore_after(IN_FORCE_LIMIT):
+    async with curio.ignore_after(ROLLOUT_TIMEOUT_S):
         while any(
             proxy.view.number != number for proxy in deployment.proxies.values()
         ):
--- a/deckdrum/invariants/sessions.py
+++ b/deckdrum/invariants/sessions.py
@@ -7,23 +7,23 @@
 
 from deckdrum.bench.client import Client
 from deckdrum.bench.deployment import Deployment, Layout
-from deckdrum.bench.workload import Load, Pace, create_table
+from deckdrum.bench.workload import Load, LoadProfile, create_table
 
 _ONE_SERVICE: Final = ('stalls',)
 _LAG: Final = 0.8
 _CALLERS: Final = 8
 _ROUNDS: Final = 6
 #: A moment inside a slow request, in seconds.
-_MIDWAY: Final = 0.03
+_MID_REQUEST_S: Final = 0.03
 
 
-async def see_own_writes() -> list[str]:
+async def check_read_your_writes() -> list[str]:
     """Have callers read aged data on other proxies while replicas lag."""
     layout = Layout(services=_ONE_SERVICE, apply_lag=_LAG)
     deployment = Deployment(layout)
     await deployment.start()
     await create_table(deployment, 'stalls')
-    load = Load(deployment, Pace(), Random(2))
+    load = Load(deployment, LoadProfile(), Random(2))
     await load.start(_CALLERS)
     await curio.sleep(3)
     history = await load.finish()
@@ -33,7 +33,7 @@
     return history.violations
 
 
-async def keep_transactions_apart() -> list[str]:
+async def check_transaction_isolation() -> list[str]:
     """Run more transactions than connections, each with its own rows."""
     layout = Layout(services=_ONE_SERVICE, max_connections=7)
     deployment = Deployment(layout)
@@ -70,7 +70,7 @@
     await client.close()
 
 
-async def give_each_its_answer() -> list[str]:
+async def check_answer_isolation() -> list[str]:
     """Cancel and abandon requests while others use the same connections."""
     layout = Layout(
         services=_ONE_SERVICE,
@@ -84,13 +84,13 @@
     broken: list[str] = []
     async with curio.TaskGroup() as tasks:
         for number in range(_CALLERS):
-            await tasks.spawn(_ask_often, deployment, number, broken)
-        await tasks.spawn(_abandon_often, deployment)
+            await tasks.spawn(_run_queries, deployment, number, broken)
+        await tasks.spawn(_abandon_requests, deployment)
     await deployment.close()
     return broken
 
 
-async def _ask_often(
+async def _run_queries(
     deployment: Deployment,
     number: int,
     broken: list[str],
@@ -107,19 +107,19 @@
     await client.close()
 
 
-async def _abandon_often(deployment: Deployment) -> None:
+async def _abandon_requests(deployment: Deployment) -> None:
     """Leave in the middle of answers, and cancel others."""
     for turn in range(_ROUNDS * 2):
         client = await deployment.connect(f'p{turn % 2 + 1}')
-        task = await curio.spawn(_ask_slowly, client)
-        await curio.sleep(_MIDWAY)
+        task = await curio.spawn(_run_slow_query, client)
+        await curio.sleep(_MID_REQUEST_S)
         if turn % 2:
             await client.link.cancel()
         await client.close()
         await task.join()
 
 
-async def _ask_slowly(client: Client) -> None:
+async def _run_slow_query(client: Client) -> None:
     try:
         await client.run('BEGIN READ ONLY')
         await client.run('SELECT pg_sleep(0.08)')
--- a/deckdrum/invariants/tests/test_combinations.py
+++ b/deckdrum/invariants/tests/test_combinations.py
@@ -4,13 +4,15 @@
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
 
-from deckdrum.invariants.combinations import KINDS, Fault, endure
-from deckdrum.invariants.tests.test_invariants import acknowledge_alone
+from deckdrum.invariants.combinations import FAULT_INJECTORS, Fault, run_faults
+from deckdrum.invariants.tests.test_invariants import (
+    acknowledge_without_replicas,
+)
 from deckdrum.utils.virtualtime import run_virtual
 
 FAULTS = st.builds(
     Fault,
-    kind=st.sampled_from(sorted(KINDS)),
+    kind=st.sampled_from(sorted(FAULT_INJECTORS)),
     starts=st.sampled_from([0, 0.3, 0.31, 0.9, 1.2, 2.0]),
     lasts=st.sampled_from([0.05, 0.5, 1.5, 3.0]),
     place=st.integers(0, 3),
@@ -27,11 +29,11 @@
 @example([Fault('crash', 0, 3.0, 0), Fault('crash', 1.2, 1.5, 1)])
 @example([Fault('cut', 0, 3.0, 0), Fault('stop proxy', 0.9, 0.5, 1)])
 def test_no_promise_breaks(faults: list[Fault]) -> None:
-    assert not run_virtual(endure, faults)
+    assert not run_virtual(run_faults, faults)
 
 
 def test_a_broken_rule_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    acknowledge_alone(monkeypatch)
+    acknowledge_without_replicas(monkeypatch)
     # The first database is cut off with each of the proxies in turn.
     cuts = [Fault('cut', 0.3, 3.0, place) for place in (9, 6, 3, 0)]
-    assert any(run_virtual(endure, [each]) for each in cuts)
+    assert any(run_virtual(run_faults, [each]) for each in cuts)
--- a/deckdrum/invariants/tests/test_invariants.py
+++ b/deckdrum/invariants/tests/test_invariants.py
@@ -8,28 +8,28 @@
 from deckdrum.backends.pool import Pool
 from deckdrum.databases.base import DatabasePool
 from deckdrum.invariants import changes, operations, sessions
-from deckdrum.keepers.relay import RelayEnd
+from deckdrum.keepers.relay import RelayResult
 from deckdrum.keepers.routing import Router
 from deckdrum.keepers.sessions import KeeperSession
 from deckdrum.outcomes import CODES, Code, Fate
 from deckdrum.outcomes.codes import CodeEntry
 from deckdrum.proxy import Proxy
 from deckdrum.sessions import Position, Token
-from deckdrum.sessions.position import NOWHERE
+from deckdrum.sessions.position import LOG_START
 from deckdrum.store.view import StoreView
 from deckdrum.utils.virtualtime import run_virtual
 
 Scenario = Callable[[], Awaitable[list[str]]]
 SCENARIOS = (
-    sessions.see_own_writes,
-    sessions.keep_transactions_apart,
-    sessions.give_each_its_answer,
-    changes.keep_acknowledged,
-    changes.tell_truth_when_cut,
-    changes.run_once_at_most,
-    operations.leave_alone_the_leaving,
-    operations.stop_without_cutting,
-    operations.stay_in_force,
+    sessions.check_read_your_writes,
+    sessions.check_transaction_isolation,
+    sessions.check_answer_isolation,
+    changes.check_acknowledged_writes,
+    changes.check_reported_outcomes,
+    changes.check_at_most_once,
+    operations.check_leaving_servers,
+    operations.check_graceful_shutdown,
+    operations.check_configuration_order,
 )
 
 
@@ -38,22 +38,22 @@
     assert not run_virtual(scenario)
 
 
-def forget_floors(patch: pytest.MonkeyPatch) -> None:
+def ignore_min_positions(patch: pytest.MonkeyPatch) -> None:
     """Break: reads take no account of what the session has seen."""
-    patch.setattr(Token, 'floor', lambda token, group: NOWHERE)
+    patch.setattr(Token, 'floor', lambda token, group: LOG_START)
 
 
 def release_inside_transactions(patch: pytest.MonkeyPatch) -> None:
     """Break: a connection is given back in the middle of a transaction."""
     let_go = KeeperSession._let_go
 
-    async def release(session: Any, end: RelayEnd) -> None:
-        await let_go(session, RelayEnd('I', end.held, end.rejected))
+    async def release(session: Any, end: RelayResult) -> None:
+        await let_go(session, RelayResult('I', end.held, end.rejected))
 
     patch.setattr(KeeperSession, '_let_go', release)
 
 
-def reuse_doubtful(patch: pytest.MonkeyPatch) -> None:
+def reuse_unclean_connections(patch: pytest.MonkeyPatch) -> None:
     """Break: a connection with an answer under way is lent again."""
     release = Pool.release
 
@@ -65,7 +65,7 @@
     patch.setattr(Pool, 'release', release_clean)
 
 
-def acknowledge_alone(patch: pytest.MonkeyPatch) -> None:
+def acknowledge_without_replicas(patch: pytest.MonkeyPatch) -> None:
     """Break: the primary's own word is enough to acknowledge."""
 
     async def trust(session: Any, route: Any, end: Any) -> Position | None:
@@ -77,7 +77,7 @@
     patch.setattr(KeeperSession, '_confirm', trust)
 
 
-def deny_unknown(patch: pytest.MonkeyPatch) -> None:
+def report_unknown_as_not_run(patch: pytest.MonkeyPatch) -> None:
     """Break: an unknown outcome is told as not run."""
     for code in (Code.CONNECTION_LOST, Code.UNCONFIRMED):
         patch.setitem(CODES, code, CodeEntry(code, Fate.NOT_RUN, 'broken'))
@@ -116,7 +116,7 @@
     )
 
 
-def cut_callers(patch: pytest.MonkeyPatch) -> None:
+def close_without_draining(patch: pytest.MonkeyPatch) -> None:
     """Break: a planned stop does not wait for transactions."""
 
     async def close_at_once(proxy: Proxy) -> bool:
@@ -127,7 +127,7 @@
     patch.setattr(Proxy, 'drain', close_at_once)
 
 
-def accept_any_number(patch: pytest.MonkeyPatch) -> None:
+def accept_older_configurations(patch: pytest.MonkeyPatch) -> None:
     """Break: an older configuration replaces a newer one."""
     patch.setattr(StoreView, 'number', property(_read))
 
@@ -142,15 +142,15 @@
 
 
 BROKEN = (
-    (sessions.see_own_writes, forget_floors),
-    (sessions.keep_transactions_apart, release_inside_transactions),
-    (sessions.give_each_its_answer, reuse_doubtful),
-    (changes.keep_acknowledged, acknowledge_alone),
-    (changes.tell_truth_when_cut, deny_unknown),
-    (changes.run_once_at_most, retry_changes),
-    (operations.leave_alone_the_leaving, read_from_leaving),
-    (operations.stop_without_cutting, cut_callers),
-    (operations.stay_in_force, accept_any_number),
+    (sessions.check_read_your_writes, ignore_min_positions),
+    (sessions.check_transaction_isolation, release_inside_transactions),
+    (sessions.check_answer_isolation, reuse_unclean_connections),
+    (changes.check_acknowledged_writes, acknowledge_without_replicas),
+    (changes.check_reported_outcomes, report_unknown_as_not_run),
+    (changes.check_at_most_once, retry_changes),
+    (operations.check_leaving_servers, read_from_leaving),
+    (operations.check_graceful_shutdown, close_without_draining),
+    (operations.check_configuration_order, accept_older_configurations),
 )
 
 
--- a/deckdrum/keepers/access.py
+++ b/deckdrum/keepers/access.py
@@ -11,4 +11,4 @@
     #: Sees every change acknowledged before it began.
     CURRENT = 'current'
     #: May see data of a declared age, but never less than the session saw.
-    AGED = 'aged'
+    BOUNDED_STALENESS = 'aged'
--- a/deckdrum/keepers/core.py
+++ b/deckdrum/keepers/core.py
@@ -15,11 +15,11 @@
 
 from deckdrum.backends.pool import Pool
 from deckdrum.configuration import Document, Service
-from deckdrum.databases import Database, QueryAnswer
+from deckdrum.databases import Database, QueryResult
 from deckdrum.databases.base import DatabasePool
 from deckdrum.databases.watch import (
-    IDLE_INTERVAL,
-    STANDBY_INTERVAL,
+    IDLE_PROBE_INTERVAL_S,
+    STANDBY_PROBE_INTERVAL_S,
     ServiceWatch,
 )
 from deckdrum.fleet.base import Message
@@ -37,16 +37,16 @@
 from deckdrum.utils.metrics import Metrics
 
 #: Decisions kept for ``deckdrumctl explain``.
-_DECISIONS: Final = 500
+_MAX_DECISIONS: Final = 500
 #: Silence of a database after which its requests are given up, in seconds.
-SILENCE_LIMIT: Final = 3.0
+ROUTE_LOST_AFTER_S: Final = 3.0
 #: Silence of most databases after which another keeper is better, in seconds.
-FIT_LIMIT: Final = 1.0
+MAJORITY_LOST_AFTER_S: Final = 1.0
 #: Databases up to which a replica and its primary make a majority.
-_PAIR_IS_MAJORITY: Final = 3
+_MAX_DATABASES_FOR_PAIR_MAJORITY: Final = 3
 #: Pause between two looks at the pools, in seconds.
-_WARM_ROUND: Final = 0.05
-_DEFAULT_IDLE_LIMIT: Final = 10.0
+_WARM_UP_INTERVAL_S: Final = 0.05
+_DEFAULT_IDLE_TIMEOUT_S: Final = 10.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class KeeperContext:
     """What a keeper needs of its proxy.
 
     `ask_peers` asks proxies of other data centres whether they reach a
@@ -95,7 +95,7 @@
         self,
         service: Service,
         document: Document,
-        around: Surroundings,
+        around: KeeperContext,
     ) -> None:
         self.service = service
         self.around = around
@@ -104,10 +104,10 @@
             for entry in service.databases
         }
         self.watch = ServiceWatch(self.databases.values())
-        self._shares = _read_shares(document)
+        self._shares = _get_group_shares(document)
         self._document = document
         self.pools: dict[str, DatabasePool] = {
-            name: Pool(database, self._count_slots(database), self._shares)
+            name: Pool(database, self._get_pool_size(database), self._shares)
             for name, database in self.databases.items()
         }
         self.router = Router(
@@ -116,12 +116,12 @@
             self.pools,
             around.data_centre,
         )
-        self.decisions: deque[Decision] = deque(maxlen=_DECISIONS)
+        self.decisions: deque[Decision] = deque(maxlen=_MAX_DECISIONS)
         self.is_draining = False
         #: Until when this proxy leaves the service to others.
-        self.unfit_until: float = 0
+        self.unavailable_until: float = 0
         #: Whether a caller has ever used the service here.
-        self.was_used = False
+        self.has_served_callers = False
         self.supervisor = Supervisor(self)
         self._sessions: dict[str, KeeperSession] = {}
         self._tasks: list[Any] = []
@@ -140,7 +140,7 @@
         """Begin to watch the databases."""
         self.adopt_record()
         await self.watch.start()
-        for run in (self.supervisor.run, self._keep_warm):
+        for run in (self.supervisor.run, self._run_warm_up):
             self._tasks.append(await curio.spawn(run, daemon=True))
 
     async def close(self) -> None:
@@ -163,17 +163,19 @@
             return False
         self.service = service
         self._document = document
-        self._shares = _read_shares(document)
+        self._shares = _get_group_shares(document)
         self.router.reconfigure(service)
         for pool in self.pools.values():
-            slots = self._count_slots(pool.database)
+            slots = self._get_pool_size(pool.database)
             await pool.queue.resize(slots, self._shares)
         return True
 
-    def be_standby(self, is_standby: bool) -> None:
+    def set_standby(self, is_standby: bool) -> None:
         """Probe seldom while another proxy keeps the service."""
         is_quiet = is_standby and not self._sessions
-        interval = STANDBY_INTERVAL if is_quiet else IDLE_INTERVAL
+        interval = (
+            STANDBY_PROBE_INTERVAL_S if is_quiet else IDLE_PROBE_INTERVAL_S
+        )
         self.watch.idle_interval = interval
 
     async def serve(
@@ -184,7 +186,7 @@
         """Run the batches of a channel; see `KeeperSession.run`."""
         session = KeeperSession(self, channel, opened)
         self._sessions[opened.channel] = session
-        self.was_used = True
+        self.has_served_callers = True
         try:
             return await session.run()
         finally:
@@ -220,30 +222,30 @@
         if is_heard:
             return False
         watcher = self.watch.watchers[route.pool.database.name]
-        return watcher.is_silent(await curio.clock(), SILENCE_LIMIT)
+        return watcher.is_silent(await curio.clock(), ROUTE_LOST_AFTER_S)
 
-    async def is_fit(self) -> bool:
+    async def can_accept_batches(self) -> bool:
         """Tell whether this proxy should take work for the service.
 
         A proxy with a bad link to the primary, or cut off from most of the
         databases, leaves the service to the next keeper.
         """
         now = await curio.clock()
-        if self.is_draining or now < self.unfit_until:
+        if self.is_draining or now < self.unavailable_until:
             return False
-        return self.watch.sees_majority(now, FIT_LIMIT)
+        return self.watch.can_reach_majority(now, MAJORITY_LOST_AFTER_S)
 
-    def read_idle_limit(self, group: str) -> float:
+    def get_idle_timeout(self, group: str) -> float:
         """Return how long a transaction of `group` may pause, in seconds."""
         declared = self._document.find_group(group)
         if declared is None:
-            return _DEFAULT_IDLE_LIMIT
+            return _DEFAULT_IDLE_TIMEOUT_S
         return declared.idle_transaction_limit
 
-    async def settle_read(
+    async def confirm_read(
         self,
         route: Route,
-        trailer: QueryAnswer | None,
+        trailer: QueryResult | None,
     ) -> Position | None:
         """Return a position that covers what a replica has just shown.
 
@@ -259,12 +261,15 @@
             seen = await self.watch.fetch_applied(database.name, limit)
         else:
             seen = Position(state.term, state.applied)
-        if seen is None or len(self.databases) <= _PAIR_IS_MAJORITY:
+        if (
+            seen is None
+            or len(self.databases) <= _MAX_DATABASES_FOR_PAIR_MAJORITY
+        ):
             return seen
         confirmed = await self.watch.confirm(limit)
         return None if confirmed is None else max(seen, confirmed)
 
-    def note_done(self, group: str, route: Route) -> None:
+    def record_answered_batch(self, group: str, route: Route) -> None:
         """Count and remember an answered batch."""
         target = 'primary' if route.is_primary else 'replica'
         self.around.metrics.count_batch(
@@ -284,7 +289,7 @@
             ),
         )
 
-    def note_refused(self, group: str, refusal: Refusal) -> None:
+    def record_refused_batch(self, group: str, refusal: Refusal) -> None:
         """Count and remember a refused batch."""
         self.around.metrics.count_batch(
             self.service.name,
@@ -307,24 +312,24 @@
         """Count an event."""
         self.around.metrics.count(event)
 
-    async def _keep_warm(self) -> None:
+    async def _run_warm_up(self) -> None:
         """Keep a few connections open while callers use the service."""
         while True:
-            if self.was_used:
+            if self.has_served_callers:
                 await self._warm_pools()
-            await curio.sleep(_WARM_ROUND)
+            await curio.sleep(_WARM_UP_INTERVAL_S)
 
     async def _warm_pools(self) -> None:
         for name, pool in self.pools.items():
             if self.watch.read_state(name) is not None:
                 await pool.warm()
 
-    def _count_slots(self, database: Database) -> int:
+    def _get_pool_size(self, database: Database) -> int:
         reserved = self.service.reserved_connections
         return database.entry.max_connections - reserved
 
 
-def _read_shares(document: Document) -> Mapping[str, GroupShare]:
+def _get_group_shares(document: Document) -> Mapping[str, GroupShare]:
     return {
         group.name: GroupShare(group.weight, group.max_waiting)
         for group in document.groups
--- a/deckdrum/keepers/relay.py
+++ b/deckdrum/keepers/relay.py
@@ -9,25 +9,25 @@
 from dataclasses import dataclass
 from typing import Final
 
-from deckdrum.databases import DatabaseLink, QueryAnswer
+from deckdrum.databases import DatabaseLink, QueryResult
 from deckdrum.fleet.messages import RunBatch
 from deckdrum.keepers.access import Access
-from deckdrum.keepers.rewriting import Expected, Rewriter
+from deckdrum.keepers.rewriting import ExpectedReply, Rewriter
 from deckdrum.wire import Frame, WireError, tags
 from deckdrum.wire.messages import decode_backend
 
 #: Answer bytes gathered before they are passed on.
 _CHUNK_BYTES: Final = 32768
 #: Answer bytes of a change that are held back at most.
-HOLD_BYTES: Final = 4_000_000
-_COMMAND_ENDS: Final = frozenset(
+MAX_HELD_BYTES: Final = 4_000_000
+_COMMAND_END_TAGS: Final = frozenset(
     (
         tags.COMMAND_COMPLETE,
         tags.EMPTY_QUERY,
         tags.PORTAL_SUSPENDED,
     )
 )
-_COUNTED_ENDS: Final = _COMMAND_ENDS.union((b'T', b'n'))
+_REPLY_END_TAGS: Final = _COMMAND_END_TAGS.union((b'T', b'n'))
 _COPY_TAGS: Final = frozenset((tags.COPY_IN, tags.COPY_OUT, tags.COPY_BOTH))
 _EXPECTED_TAGS: Final = frozenset(
     (
@@ -38,7 +38,7 @@
 )
 #: SQLSTATEs by which a database says that it did not run the request:
 #: read only, shutting down, starting up, too many connections.
-_NOT_RUN_STATES: Final = frozenset(
+_NOT_EXECUTED_SQLSTATES: Final = frozenset(
     (
         '25006',
         '57P01',
@@ -52,11 +52,11 @@
 
 
 class AnswerTooLargeError(Exception):
-    """The answer of a change outgrew `HOLD_BYTES`."""
+    """The answer of a change outgrew `MAX_HELD_BYTES`."""
 
 
 @dataclass(frozen=True, slots=True)
-class RelayEnd:
+class RelayResult:
     """How a batch ended on its connection.
 
     Attributes
@@ -77,7 +77,7 @@
     held: bytes = b''
     rejected: str = ''
     failed: bool = False
-    trailer: QueryAnswer | None = None
+    trailer: QueryResult | None = None
 
 
 class Relay:
@@ -116,9 +116,9 @@
         #: Whether any byte of the batch was sent.
         self.is_sent = False
         #: Whether any byte of the answer was passed on.
-        self.is_touched = False
+        self.has_relayed_bytes = False
 
-    async def run(self) -> RelayEnd:
+    async def run(self) -> RelayResult:
         """Send the batch and relay its answer.
 
         Raises
@@ -140,14 +140,14 @@
                 return self._finish(frame.body.decode(), answer)
             if frame.tag in _EXPECTED_TAGS:
                 expected = rewritten.expected.popleft()
-                replies -= int(not expected.is_dropped)
-                self._note_expected(expected)
-                if expected.is_dropped:
+                replies -= int(not expected.is_suppressed)
+                self._record_expected_reply(expected)
+                if expected.is_suppressed:
                     continue
-            elif frame.tag in _COUNTED_ENDS:
+            elif frame.tag in _REPLY_END_TAGS:
                 replies -= 1
             elif frame.tag == tags.ERROR:
-                self._note_error(frame)
+                self._record_error(frame)
                 rewritten.expected.clear()
                 replies = 0
             await self._pass(frame)
@@ -157,12 +157,12 @@
     async def flush(self) -> None:
         """Pass on what is gathered and not held back."""
         if self._buffer:
-            self.is_touched = True
+            self.has_relayed_bytes = True
             payload = bytes(self._buffer)
             self._buffer.clear()
             await self._sink(payload)
 
-    async def _read_trailer(self) -> QueryAnswer | None:
+    async def _read_trailer(self) -> QueryResult | None:
         return await self._link.read_answer() if self._trailer else None
 
     async def _next_frame(self) -> Frame:
@@ -179,18 +179,18 @@
             return
         if frame.tag in _COPY_TAGS:
             raise WireError('the database began a COPY')
-        if frame.tag in _COMMAND_ENDS:
+        if frame.tag in _COMMAND_END_TAGS:
             self._is_holding = True
         if self._is_holding:
             self._held.extend(frame.raw)
-            if len(self._held) > HOLD_BYTES:
-                await self._overflow()
+            if len(self._held) > MAX_HELD_BYTES:
+                await self._handle_overflow()
             return
         self._buffer.extend(frame.raw)
         if len(self._buffer) > _CHUNK_BYTES:
             await self.flush()
 
-    async def _overflow(self) -> None:
+    async def _handle_overflow(self) -> None:
         if self._batch.access == Access.WRITE:
             raise AnswerTooLargeError
         self._buffer.extend(self._held)
@@ -200,20 +200,22 @@
     def _finish(
         self,
         status: str,
-        trailer: QueryAnswer | None = None,
-    ) -> RelayEnd:
-        is_rejected = self._sqlstate in _NOT_RUN_STATES and status != 'E'
-        if is_rejected and not self._is_holding and not self.is_touched:
-            return RelayEnd(status, rejected=self._sqlstate, failed=True)
+        trailer: QueryResult | None = None,
+    ) -> RelayResult:
+        is_rejected = (
+            self._sqlstate in _NOT_EXECUTED_SQLSTATES and status != 'E'
+        )
+        if is_rejected and not self._is_holding and not self.has_relayed_bytes:
+            return RelayResult(status, rejected=self._sqlstate, failed=True)
         held = bytes(self._buffer) + bytes(self._held)
         failed = bool(self._sqlstate)
-        return RelayEnd(status, held, failed=failed, trailer=trailer)
+        return RelayResult(status, held, failed=failed, trailer=trailer)
 
-    def _note_error(self, frame: Frame) -> None:
+    def _record_error(self, frame: Frame) -> None:
         fields = decode_backend(frame).fields
         self._sqlstate = fields.get('C', '')
 
-    def _note_expected(self, expected: Expected) -> None:
+    def _record_expected_reply(self, expected: ExpectedReply) -> None:
         if expected.prepared:
             self._link.prepared.add(expected.prepared)
         if expected.closed:
--- a/deckdrum/keepers/rewriting.py
+++ b/deckdrum/keepers/rewriting.py
@@ -21,11 +21,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
+class ExpectedReply:
     """An answer that will come, and what it means for the connection."""
 
     tag: bytes
-    is_dropped: bool = False
+    is_suppressed: bool = False
     prepared: bytes = b''
     closed: bytes = b''
 
@@ -38,7 +38,7 @@
     """
 
     payload: bytes
-    expected: deque[Expected] = field(default_factory=deque)
+    expected: deque[ExpectedReply] = field(default_factory=deque)
     replies: int = 0
     ends_with_sync: bool = True
 
@@ -117,7 +117,7 @@
         """Take over a Parse under its server name."""
         message = decode_frontend(frame)
         if not message.statement:
-            self._add(frame.raw, Expected(tags.PARSE_COMPLETE))
+            self._add(frame.raw, ExpectedReply(tags.PARSE_COMPLETE))
             return
         definition = define_statement(message)
         name = definition.server_name.encode()
@@ -128,7 +128,7 @@
         self._prepared.add(name)
         self._add(
             definition.parse,
-            Expected(tags.PARSE_COMPLETE, prepared=name),
+            ExpectedReply(tags.PARSE_COMPLETE, prepared=name),
         )
 
     def bind(self, frame: Frame) -> None:
@@ -136,10 +136,10 @@
         message = decode_frontend(frame)
         name = self._ensure(message.statement)
         if name is None:
-            self._add(frame.raw, Expected(tags.BIND_COMPLETE))
+            self._add(frame.raw, ExpectedReply(tags.BIND_COMPLETE))
             return
         message.statement = name
-        self._add(message.to_wire(), Expected(tags.BIND_COMPLETE))
+        self._add(message.to_wire(), ExpectedReply(tags.BIND_COMPLETE))
 
     def describe(self, frame: Frame) -> None:
         """Take over a Describe."""
@@ -154,14 +154,14 @@
         message = decode_frontend(frame)
         definition = self._known.get(message.name)
         if message.kind != 'S' or definition is None:
-            self._add(frame.raw, Expected(tags.CLOSE_COMPLETE))
+            self._add(frame.raw, ExpectedReply(tags.CLOSE_COMPLETE))
             return
         name = definition.server_name
         self._prepared.discard(name.encode())
         message.name = name
         self._add(
             message.to_wire(),
-            Expected(tags.CLOSE_COMPLETE, closed=name.encode()),
+            ExpectedReply(tags.CLOSE_COMPLETE, closed=name.encode()),
         )
 
     def _ensure(self, name: str) -> str | None:
@@ -174,9 +174,9 @@
             self._prepared.add(server_name)
             self._parts.append(definition.parse)
             self._batch.expected.append(
-                Expected(
+                ExpectedReply(
                     tags.PARSE_COMPLETE,
-                    is_dropped=True,
+                    is_suppressed=True,
                     prepared=server_name,
                 ),
             )
@@ -185,14 +185,14 @@
     def _close(self, name: str) -> None:
         self._parts.append(codec.Close(kind='S', name=name).to_wire())
         self._batch.expected.append(
-            Expected(
+            ExpectedReply(
                 tags.CLOSE_COMPLETE,
-                is_dropped=True,
+                is_suppressed=True,
                 closed=name.encode(),
             ),
         )
 
-    def _add(self, raw: bytes, expected: Expected) -> None:
+    def _add(self, raw: bytes, expected: ExpectedReply) -> None:
         self._parts.append(raw)
         self._batch.expected.append(expected)
         self._batch.replies += 1
--- a/deckdrum/keepers/routing.py
+++ b/deckdrum/keepers/routing.py
@@ -17,7 +17,7 @@
 from deckdrum.sessions import Position
 
 #: Pause before a position is asked for in a new term, in seconds.
-_TERM_POLL: Final = 0.01
+_TERM_POLL_INTERVAL_S: Final = 0.01
 
 
 class Reason(StrEnum):
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class ReadRequirement:
     """What a read asks of a replica."""
 
     floor: Position
@@ -105,7 +105,7 @@
         """
         if access is Access.WRITE:
             return await self.choose_primary(Reason.WRITE, limit)
-        route = await self._choose_for_read(batch, access, limit)
+        route = await self._choose_read_route(batch, access, limit)
         if isinstance(route, Refusal):
             return route
         return replace(route, access=access)
@@ -121,7 +121,7 @@
             return refuse(Code.NO_PRIMARY, f'service {self._service.name}')
         return Route(pool, True, self.watch.term, reason)
 
-    async def _choose_for_read(
+    async def _choose_read_route(
         self,
         batch: RunBatch,
         access: Access,
@@ -135,7 +135,7 @@
                 return refuse(Code.READ_NOT_POSSIBLE, 'no majority answers')
             floor = max(floor, confirmed)
             max_age = None
-        return await self._choose_reader(Need(floor, max_age), limit)
+        return await self._choose_reader(ReadRequirement(floor, max_age), limit)
 
     async def _confirm(self, limit: float) -> Position | None:
         """Return a confirmed position, also across a change of term."""
@@ -146,10 +146,12 @@
                     return confirmed
                 # The term has ended; the read has not run, so wait for the
                 # next one.
-                await curio.sleep(_TERM_POLL)
+                await curio.sleep(_TERM_POLL_INTERVAL_S)
         return None
 
-    async def _choose_reader(self, need: Need, limit: float) -> Route | Refusal:
+    async def _choose_reader(
+        self, need: ReadRequirement, limit: float
+    ) -> Route | Refusal:
         find = partial(self._find_replica, need, await curio.clock())
         pool = find()
         reason = Reason.REPLICA
@@ -168,21 +170,25 @@
         state = self.watch.read_state(self.watch.primary)
         if state is None or state.role is not Role.PRIMARY:
             return None
-        if not state.takes_part(self.watch.term):
+        if not state.is_in_term(self.watch.term):
             return None
         return self.pools.get(self.watch.primary)
 
-    def _find_replica(self, need: Need, now: float) -> DatabasePool | None:
+    def _find_replica(
+        self, need: ReadRequirement, now: float
+    ) -> DatabasePool | None:
         fitting = [
             pool
             for name, pool in self.pools.items()
-            if self._fits(name, need, now)
+            if self._meets_requirement(name, need, now)
         ]
         if not fitting:
             return None
         return min(fitting, key=self._rank)
 
-    def _fits(self, name: str, need: Need, now: float) -> bool:
+    def _meets_requirement(
+        self, name: str, need: ReadRequirement, now: float
+    ) -> bool:
         state = self.watch.read_state(name)
         if state is None or not self._may_read(name, state):
             return False
@@ -197,7 +203,7 @@
         if state.leaving or name in self.leaving:
             return False
         is_replica = state.role is Role.REPLICA
-        return is_replica and state.takes_part(self.watch.term)
+        return is_replica and state.is_in_term(self.watch.term)
 
     def _rank(self, pool: DatabasePool) -> tuple[bool, int, bool, str]:
         entry = pool.database.entry
--- a/deckdrum/keepers/sessions.py
+++ b/deckdrum/keepers/sessions.py
@@ -21,7 +21,7 @@
 from deckdrum.keepers.relay import (
     AnswerTooLargeError,
     Relay,
-    RelayEnd,
+    RelayResult,
     replay_settings,
 )
 from deckdrum.keepers.routing import Route
@@ -34,27 +34,27 @@
     from deckdrum.keepers.core import Keeper
 
 #: How often a waiting relay looks whether its database is still in charge.
-_ALIVE_CHECK = 0.5
+_LIVENESS_CHECK_INTERVAL_S = 0.5
 _RETRY_PAUSE = 0.05
 #: How often an idle transaction is looked at, in seconds.
-_IDLE_CHECK = 0.25
+_IDLE_CHECK_INTERVAL_S = 0.25
 #: Idle time of a transaction on a lent connection that another group waits
 #: for, in seconds.
-_LENT_IDLE_LIMIT = 0.5
+_LENT_IDLE_TIMEOUT_S = 0.5
 #: Longest wait for settings to be replayed, in seconds.
-_SETTINGS_LIMIT = 1.0
+_SETTINGS_TIMEOUT_S = 1.0
 #: SQLSTATE of a database that takes no changes.
 _READ_ONLY = '25006'
 _IDLE = 'I'
 _FLUSH = Frame.build(tags.FLUSH).raw
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller's proxy no longer listens."""
 
 
 @dataclass(slots=True)
-class _Holding:
+class _HeldConnection:
     """A connection that the channel holds, and how it was routed."""
 
     lease: Lease[Database, DatabaseLink]
@@ -102,7 +102,7 @@
         self._keeper = keeper
         self._channel = channel
         self._group = opened.group
-        self._holding: _Holding | None = None
+        self._holding: _HeldConnection | None = None
         self._is_cancelled = False
 
     @property
@@ -126,10 +126,10 @@
                 if not isinstance(message, RunBatch):
                     return message
                 await self._run_batch(message)
-        except (ConnectionError, CallerGoneError):
+        except (ConnectionError, CallerDisconnectedError):
             return None
         finally:
-            await self._drop()
+            await self._discard_connection()
 
     async def cancel(self) -> None:
         """Cancel what runs; the connection is closed after its transaction."""
@@ -140,22 +140,22 @@
     async def _receive(self) -> Message | None:
         if self._holding is None:
             return await self._channel.receive()
-        limit = self._keeper.read_idle_limit(self._group)
+        limit = self._keeper.get_idle_timeout(self._group)
         idle: float = 0
-        while idle < limit and not self._must_give_back(idle):
-            async with curio.ignore_after(_IDLE_CHECK):
+        while idle < limit and not self._must_return_lent(idle):
+            async with curio.ignore_after(_IDLE_CHECK_INTERVAL_S):
                 return await self._channel.receive()
-            idle += _IDLE_CHECK
-        await self._drop()
+            idle += _IDLE_CHECK_INTERVAL_S
+        await self._discard_connection()
         await self._refuse(
             refuse(Code.IDLE_TRANSACTION, f'idle for {idle} s'),
             lost=True,
         )
         return None
 
-    def _must_give_back(self, idle: float) -> bool:
+    def _must_return_lent(self, idle: float) -> bool:
         """Tell whether an idle transaction sits on another group's share."""
-        if idle < _LENT_IDLE_LIMIT or self._holding is None:
+        if idle < _LENT_IDLE_TIMEOUT_S or self._holding is None:
             return False
         queue = self._holding.route.pool.queue
         return queue.must_return_connection(self._group)
@@ -165,7 +165,7 @@
         if self._holding is not None:
             await self._run_pinned(batch, access)
             return
-        if not await self._keeper.is_fit():
+        if not await self._keeper.can_accept_batches():
             await self._refuse(refuse(Code.NO_KEEPER, 'another one is better'))
             return
         limit = self._keeper.service.wait_limit
@@ -186,13 +186,13 @@
         self._holding = holding
         link = holding.lease.link
         try:
-            async with curio.timeout_after(_SETTINGS_LIMIT):
+            async with curio.timeout_after(_SETTINGS_TIMEOUT_S):
                 complaint = await replay_settings(link, attempt.batch)
         except (ConnectionError, curio.TaskTimeout):
-            await self._drop()
+            await self._discard_connection()
             return None if await self._give_up(attempt) else attempt
         if complaint:
-            await self._drop()
+            await self._discard_connection()
             await self._refuse(refuse(Code.BAD_SETTING, complaint))
             return None
         return await self._attempt(attempt)
@@ -207,7 +207,7 @@
     async def _acquire(
         self,
         attempt: _Attempt,
-    ) -> _Holding | Refusal | None:
+    ) -> _HeldConnection | Refusal | None:
         """Route a batch and lend a connection; None to try again."""
         route = await self._keeper.router.choose(
             attempt.batch,
@@ -228,11 +228,11 @@
             return None
         if isinstance(lease, Refusal):
             return lease
-        return _Holding(lease, route)
+        return _HeldConnection(lease, route)
 
     async def _attempt(self, attempt: _Attempt) -> _Attempt | None:
         """Run a batch on the connection that the channel holds."""
-        holding = self._require_holding()
+        holding = self._require_connection()
         relay = Relay(
             holding.lease.link,
             attempt.batch,
@@ -240,12 +240,12 @@
             _read_trailer(holding.route, attempt.batch),
         )
         try:
-            end = await self._guard(relay, holding.route)
+            end = await self._run_guarded(relay, holding.route)
         except ConnectionError as error:
-            await self._drop()
+            await self._discard_connection()
             return await self._handle_loss(attempt, relay, error)
         except AnswerTooLargeError:
-            await self._drop()
+            await self._discard_connection()
             await self._refuse(refuse(Code.ANSWER_TOO_LARGE))
             return None
         if end.rejected:
@@ -264,7 +264,11 @@
             await self._refuse(refuse(Code.PROTOCOL_VIOLATION, str(error)))
             return None
         is_read = attempt.access is not Access.WRITE
-        if is_read and not relay.is_touched and not await attempt.is_over():
+        if (
+            is_read
+            and not relay.has_relayed_bytes
+            and not await attempt.is_over()
+        ):
             self._keeper.count('read.retried')
             return attempt
         await self._refuse(refuse(Code.CONNECTION_LOST, str(error)))
@@ -273,7 +277,7 @@
     async def _handle_rejection(
         self,
         attempt: _Attempt,
-        end: RelayEnd,
+        end: RelayResult,
     ) -> _Attempt | None:
         """Act on a database that itself said that it ran nothing."""
         await self._let_go(end)
@@ -291,19 +295,19 @@
         return _Attempt(attempt.batch, access, attempt.deadline)
 
     async def _run_pinned(self, batch: RunBatch, access: Access) -> None:
-        holding = self._require_holding()
+        holding = self._require_connection()
         relay = Relay(holding.lease.link, batch, self._pass_rows)
         try:
-            end = await self._guard(relay, holding.route)
+            end = await self._run_guarded(relay, holding.route)
         except ConnectionError as error:
-            await self._drop()
+            await self._discard_connection()
             await self._refuse(
                 refuse(Code.CONNECTION_LOST, str(error)),
                 lost=True,
             )
             return
         except AnswerTooLargeError:
-            await self._drop()
+            await self._discard_connection()
             await self._refuse(refuse(Code.ANSWER_TOO_LARGE), lost=True)
             return
         if end.rejected:
@@ -316,7 +320,7 @@
             return
         await self._finish(end, holding.route)
 
-    async def _guard(self, relay: Relay, route: Route) -> RelayEnd:
+    async def _run_guarded(self, relay: Relay, route: Route) -> RelayResult:
         """Run a relay until its database is no longer in charge.
 
         Raises
@@ -328,7 +332,7 @@
         try:
             while not task.terminated:
                 heard = relay.frames
-                async with curio.ignore_after(_ALIVE_CHECK):
+                async with curio.ignore_after(_LIVENESS_CHECK_INTERVAL_S):
                     await task.wait()
                 if task.terminated:
                     break
@@ -338,12 +342,12 @@
         finally:
             if not task.terminated:
                 await task.cancel()
-        end: RelayEnd | Exception = task.result
+        end: RelayResult | Exception = task.result
         if isinstance(end, Exception):
             raise end
         return end
 
-    async def _finish(self, end: RelayEnd, route: Route) -> None:
+    async def _finish(self, end: RelayResult, route: Route) -> None:
         """Give the connection back, confirm, and pass the answer's end on."""
         await self._let_go(end)
         floor: Position | None = Position(0, 0)
@@ -365,12 +369,12 @@
                 (floor.term, floor.offset),
             ),
         )
-        self._keeper.note_done(self._group, route)
+        self._keeper.record_answered_batch(self._group, route)
 
     async def _confirm(
         self,
         route: Route,
-        end: RelayEnd,
+        end: RelayResult,
     ) -> Position | None:
         """Return the position that the answer rests on, once it is safe."""
         service = self._keeper.service
@@ -382,9 +386,9 @@
                     service.confirm_limit,
                 )
             return await watch.confirm(service.confirm_limit)
-        return await self._keeper.settle_read(route, end.trailer)
+        return await self._keeper.confirm_read(route, end.trailer)
 
-    async def _let_go(self, end: RelayEnd) -> None:
+    async def _let_go(self, end: RelayResult) -> None:
         """Give the connection back if no transaction is open."""
         if end.status != _IDLE or self._holding is None:
             return
@@ -394,7 +398,7 @@
         self._is_cancelled = False
         await holding.route.pool.release(holding.lease, is_clean)
 
-    async def _drop(self) -> None:
+    async def _discard_connection(self) -> None:
         """Close the connection: its answer is in doubt or unwanted."""
         holding = self._holding
         self._holding = None
@@ -407,7 +411,7 @@
         await self._send(Rows(payload))
 
     async def _refuse(self, refusal: Refusal, lost: bool = False) -> None:
-        self._keeper.note_refused(self._group, refusal)
+        self._keeper.record_refused_batch(self._group, refusal)
         await self._send(
             BatchRefused(refusal.code.value, refusal.text, lost),
         )
@@ -416,19 +420,23 @@
         try:
             await self._channel.send(message)
         except ConnectionError as error:
-            raise CallerGoneError from error
+            raise CallerDisconnectedError from error
 
-    def _require_holding(self) -> _Holding:
+    def _require_connection(self) -> _HeldConnection:
         if self._holding is None:
             raise BrokenInvariantError('the channel holds no connection')
         return self._holding
 
 
-async def _run_relay(relay: Relay) -> RelayEnd | Exception:
+async def _run_relay(relay: Relay) -> RelayResult | Exception:
     """Run a relay; its failure is a value for the task that waits."""
     try:
         return await relay.run()
-    except (ConnectionError, AnswerTooLargeError, CallerGoneError) as error:
+    except (
+        ConnectionError,
+        AnswerTooLargeError,
+        CallerDisconnectedError,
+    ) as error:
         return error
 
 
--- a/deckdrum/keepers/tests/test_guard.py
+++ b/deckdrum/keepers/tests/test_guard.py
@@ -5,7 +5,7 @@
 import curio
 import pytest
 
-from deckdrum.keepers.relay import RelayEnd
+from deckdrum.keepers.relay import RelayResult
 from deckdrum.keepers.sessions import KeeperSession
 from deckdrum.utils.virtualtime import run_virtual
 
@@ -25,12 +25,12 @@
         self.frames = 0
         self._pause = pause
 
-    async def run(self) -> RelayEnd:
+    async def run(self) -> RelayResult:
         """Receive frames and return the end of the answer."""
         for _ in range(round(5 / self._pause)):
             await curio.sleep(self._pause)
             self.frames += 1
-        return RelayEnd('I')
+        return RelayResult('I')
 
 
 def guard(pause: float) -> Any:
@@ -40,7 +40,7 @@
     relay: Any = SteadyRelay(pause)
     session._keeper = keeper
     route: Any = None
-    return run_virtual(session._guard, relay, route)
+    return run_virtual(session._run_guarded, relay, route)
 
 
 def test_answer_that_goes_on_is_not_given_up() -> None:
--- a/deckdrum/leadership/supervision.py
+++ b/deckdrum/leadership/supervision.py
@@ -25,7 +25,7 @@
 from deckdrum.serving.servers import ServerHandle
 from deckdrum.serving.service import ServiceRuntime
 from deckdrum.store.records import GroupRecord, Phase
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 
 #: Interval between checks while the primary is healthy.
 CHECK_INTERVAL_S: Final = 0.1
@@ -277,7 +277,7 @@
             return False
         if has_path:
             # The primary is overloaded; a detour would only add load.
-            self._runtime.journal.record_often(
+            self._runtime.journal.record_rate_limited(
                 'primary.slow',
                 service=self._runtime.name,
                 server=primary.id,
@@ -401,7 +401,7 @@
             names,
             key=lambda name: (
                 name != preferred,
-                weigh(self._runtime.name, name),
+                compute_rendezvous_rank(self._runtime.name, name),
             ),
         )
         return ranked.index(self._context.node)
--- a/deckdrum/leadership/tests/test_belief.py
+++ b/deckdrum/leadership/tests/test_belief.py
@@ -10,7 +10,7 @@
 from deckdrum.leadership.state import PROOF_LIFETIME_S, LeadershipState
 from deckdrum.sessions import Position
 from deckdrum.store.records import GroupRecord, Phase
-from deckdrum.utils.journal import silent_journal
+from deckdrum.utils.journal import open_null_journal
 
 #: Servers of a group, proofs required, and fenced replicas required.
 REQUIRED_COUNTS = (
@@ -49,7 +49,7 @@
     """Run a scenario with three servers, of which 'a' is the primary."""
 
     async def main() -> None:
-        state = LeadershipState('stalls', silent_journal('n1'))
+        state = LeadershipState('stalls', open_null_journal('n1'))
         await state.adopt_servers(('a', 'b', 'c'))
         leading = build_status(role=ServerRole.PRIMARY)
         await state.record_status('a', leading, 10.0)
@@ -177,7 +177,7 @@
     fenced: int,
 ) -> None:
     async def main() -> None:
-        state = LeadershipState('stalls', silent_journal('n1'))
+        state = LeadershipState('stalls', open_null_journal('n1'))
         await state.adopt_servers(map(str, range(servers)))
         assert state.required_proofs == proofs
         assert state.required_fenced_replicas == fenced
--- a/deckdrum/leadership/tests/test_changes.py
+++ b/deckdrum/leadership/tests/test_changes.py
@@ -12,7 +12,7 @@
 from deckdrum.standins.users import StoreFault
 from deckdrum.testing.nodes import (
     CURRENT,
-    OWN,
+    OWN_WRITES,
     SERVICE,
     Deployment,
     play,
@@ -86,7 +86,7 @@
             for server in deployment.group.servers.values()
             if server is not old
         )
-        first.is_deaf = True
+        first.is_replication_blocked = True
         await client.ask('WRITE a 1')
         await curio.sleep(0.1)
         await old.crash()
@@ -116,7 +116,7 @@
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
-        deployment.group.lost_promotions = 1
+        deployment.group.unanswered_promotions = 1
         await deployment.group.primary.crash()
         assert await client.write_until_done() < MAX_WRITE_GAP_S + 1
         fences = [fence for _, _, fence in deployment.group.promotions]
@@ -237,7 +237,7 @@
         for number in range(20):
             assert (await client.ask(f'WRITE a {number}')).is_done
         assert deployment.group.primary is primary
-        await deployment.mend(0)
+        await deployment.heal_partition(0)
         await curio.sleep(2)
         assert (await client.ask('WRITE a 1')).is_done
         events = deployment.nodes[0].node.counters.events
@@ -248,7 +248,7 @@
 
 def test_session_reads_its_own_write_after_a_primary_change() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await deployment.connect(OWN)
+        client = await deployment.connect(OWN_WRITES)
         await client.ask('WRITE a 1')
         await curio.sleep(0.2)
         await deployment.group.primary.crash()
--- a/deckdrum/leadership/tests/test_proof.py
+++ b/deckdrum/leadership/tests/test_proof.py
@@ -12,7 +12,7 @@
 from deckdrum.sessions import Position
 from deckdrum.standins.users import StoreFault
 from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, play
-from deckdrum.utils.journal import silent_journal
+from deckdrum.utils.journal import open_null_journal
 
 
 def _count_run(deployment: Deployment, server: str) -> int:
@@ -151,7 +151,7 @@
     """
     randomness = Random(seed)
     names = ['a', 'b', 'c', 'd', 'e'][: randomness.choice((3, 5))]
-    state = LeadershipState(SERVICE, silent_journal('n1'))
+    state = LeadershipState(SERVICE, open_null_journal('n1'))
     await state.adopt_servers(names)
     leads = ServerStatus(ServerRole.PRIMARY, 1, Position(1, 1), 0)
     await state.record_status('a', leads, 0)
