--- a/deckdrum/leadership/tests/test_restarted_servers.py
+++ b/deckdrum/leadership/tests/test_restarted_servers.py
@@ -9,8 +9,14 @@
 import pytest
 
 from deckdrum.standins.users import DatabaseServer
-from deckdrum.testing.aims import GAP_AIM, WORST_GAP
-from deckdrum.testing.nodes import CURRENT, OWN, SERVICE, Deployment, play
+from deckdrum.testing.aims import WRITE_GAP_MAX_S, WRITE_GAP_P99_S
+from deckdrum.testing.nodes import (
+    CURRENT,
+    OWN_WRITES,
+    SERVICE,
+    Deployment,
+    play,
+)
 
 ROLES = ('primary', 'replica')
 
@@ -37,7 +43,7 @@
         await curio.sleep(0.2)
         old = deployment.group.primary
         await old.restart_empty(role)
-        assert await client.write_until_done(WORST_GAP) < GAP_AIM
+        assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
         leader = deployment.group.primary
         assert leader is not old
         # No write to the empty log was acknowledged, and no write was lost.
@@ -57,7 +63,7 @@
         await old.restart_empty(role)
         await deployment.start_nodes()
         client = await deployment.connect(CURRENT)
-        assert await client.write_until_done(WORST_GAP) < GAP_AIM
+        assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
         assert len(deployment.group.primary.log) == 2
 
     play(scenario)
@@ -70,7 +76,7 @@
             await client.ask('WRITE a 1')
         await curio.sleep(0.2)
         empty, complete = _list_replicas(deployment)
-        empty.is_deaf = True
+        empty.is_replication_blocked = True
         await empty.restart_empty()
         await complete.crash()
         await curio.sleep(0.2)
@@ -80,7 +86,7 @@
             await curio.sleep(0.1)
         assert not deployment.group.promotions
         await complete.start()
-        assert await client.write_until_done(WORST_GAP) < WORST_GAP
+        assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_MAX_S
         assert deployment.group.promotions[0][0] == complete.name
 
     play(scenario)
@@ -105,11 +111,11 @@
 
 def test_session_does_not_read_an_empty_log() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await deployment.connect(OWN)
+        client = await deployment.connect(OWN_WRITES)
         await client.ask('WRITE a 1')
         await curio.sleep(0.2)
         for server in _list_replicas(deployment):
-            server.is_deaf = True
+            server.is_replication_blocked = True
             await server.restart_empty()
         for _ in range(20):
             found = await client.ask('READ a')
@@ -121,7 +127,7 @@
 
 def test_connections_of_an_earlier_incarnation_are_not_used() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await deployment.connect(OWN)
+        client = await deployment.connect(OWN_WRITES)
         await client.ask('PREPARE s READ q')
         await client.ask('EXECUTE s a')
         server = _list_replicas(deployment)[0]
--- a/deckdrum/leadership/tests/test_troubles.py
+++ b/deckdrum/leadership/tests/test_troubles.py
@@ -4,14 +4,14 @@
 
 from deckdrum.testing.nodes import (
     CURRENT,
-    OWN,
+    OWN_WRITES,
     SERVICE,
     Deployment,
     build_config,
     build_route,
     play,
 )
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 
 #: Longest allowed gap between two acknowledged writes.
 MAX_WRITE_GAP_S = 2.5
@@ -20,7 +20,7 @@
 def test_overloaded_primary_is_not_replaced() -> None:
     async def scenario(deployment: Deployment) -> None:
         writer = await deployment.connect(CURRENT)
-        reader = await deployment.connect(OWN)
+        reader = await deployment.connect(OWN_WRITES)
         await writer.ask('WRITE a 1')
         deployment.group.primary.load.is_full = True
         for _ in range(30):
@@ -36,7 +36,7 @@
 def test_slow_primary_is_neither_replaced_nor_reached_by_detours() -> None:
     async def scenario(deployment: Deployment) -> None:
         writer = await deployment.connect(CURRENT, node=1)
-        reader = await deployment.connect(OWN)
+        reader = await deployment.connect(OWN_WRITES)
         await writer.ask('WRITE a 1')
         deployment.group.primary.load.status_delay = 1.0
         for _ in range(60):
@@ -58,7 +58,7 @@
 def test_replicas_serve_reads_while_the_primary_is_replaced() -> None:
     async def scenario(deployment: Deployment) -> None:
         writer = await deployment.connect(CURRENT)
-        reader = await deployment.connect(OWN)
+        reader = await deployment.connect(OWN_WRITES)
         await writer.ask('WRITE a 1')
         await reader.ask('READ a')
         await curio.sleep(0.2)
@@ -72,7 +72,7 @@
         assert deployment.group.promotions
         assert longest < 0.1
 
-    play(scenario, promote_time=0.6)
+    play(scenario, promotion_time=0.6)
 
 
 def test_unreachable_primary_with_few_connections_is_replaced() -> None:
@@ -115,7 +115,7 @@
     async def scenario(deployment: Deployment) -> None:
         runtime = deployment.nodes[0].node.services[SERVICE]
         names = [running.node.settings.name for running in deployment.nodes]
-        names.sort(key=lambda name: weigh(runtime.name, name))
+        names.sort(key=lambda name: compute_rendezvous_rank(runtime.name, name))
         first = names[:6]
         client = await deployment.connect(
             CURRENT,
--- a/deckdrum/leadership/tests/test_unfinished_changes.py
+++ b/deckdrum/leadership/tests/test_unfinished_changes.py
@@ -14,7 +14,7 @@
 from deckdrum.leadership.record_store import LeadershipRecordStore
 from deckdrum.standins.users import DatabaseServer, StoreFault
 from deckdrum.store.records import Phase
-from deckdrum.testing.aims import DRAIN_TIME, GAP_AIM, WORST_GAP
+from deckdrum.testing.aims import DRAIN_TIME_S, WRITE_GAP_MAX_S, WRITE_GAP_P99_S
 from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, play
 
 
@@ -55,7 +55,7 @@
                 server.term = 2
         await old.crash()
         client = await deployment.connect(CURRENT)
-        assert await client.write_until_done(WORST_GAP) < GAP_AIM
+        assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
 
     play(scenario)
 
@@ -70,7 +70,7 @@
         await _record(deployment, term=2, phase=Phase.FENCING.value)
         await curio.sleep(1.2)
         await _record(deployment)
-        assert await client.write_until_done(WORST_GAP) < GAP_AIM
+        assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
 
     play(scenario, nodes=nodes)
 
@@ -85,9 +85,9 @@
         await old.drain()
         await deployment.wait_for(
             partial(_has_successor, deployment, old),
-            DRAIN_TIME,
+            DRAIN_TIME_S,
         )
-        assert await client.write_until_done() < GAP_AIM
+        assert await client.write_until_done() < WRITE_GAP_P99_S
 
     play(scenario)
 
@@ -101,12 +101,12 @@
         writing = await curio.spawn(client.write_until_done)
         await deployment.wait_for(lambda: bool(deployment.group.promotions))
         deployment.store.fault = StoreFault.BUSY
-        assert await writing.join() < GAP_AIM
+        assert await writing.join() < WRITE_GAP_P99_S
         await curio.sleep(2)
         deployment.store.fault = StoreFault.NONE
         await deployment.wait_for(
             lambda: _read_record(deployment)['phase'] == Phase.SETTLED.value,
-            WORST_GAP,
+            WRITE_GAP_MAX_S,
         )
         leader = deployment.group.primary
         assert _read_record(deployment)['primary'] == leader.name
@@ -134,9 +134,9 @@
         await second.drain()
         await deployment.wait_for(
             partial(_has_successor, deployment, second),
-            DRAIN_TIME,
+            DRAIN_TIME_S,
         )
-        assert await client.write_until_done() < GAP_AIM
+        assert await client.write_until_done() < WRITE_GAP_P99_S
 
     play(scenario)
 
@@ -154,7 +154,7 @@
         await deployment.store.drop('deckdrum-leadership', SERVICE)
         await deployment.start_nodes()
         client = await deployment.connect(CURRENT)
-        assert await client.write_until_done(WORST_GAP) < GAP_AIM
+        assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
 
     play(scenario)
 
--- a/deckdrum/limits/client.py
+++ b/deckdrum/limits/client.py
@@ -164,7 +164,7 @@
             f'workspace {workspace.name}: limit {workspace.rate} operations/s',
             compute_retry_after(wait, self._refused_count),
         )
-        self._journal.record_often(
+        self._journal.record_rate_limited(
             'limit.refused',
             workspace=workspace.name,
             code=code,
--- a/deckdrum/limits/tests/test_limits.py
+++ b/deckdrum/limits/tests/test_limits.py
@@ -9,7 +9,7 @@
 from deckdrum.load.limits import DEFAULT_TOLERANCE
 from deckdrum.outcomes import Code, Fate
 from deckdrum.testing.limits import LimitFleet, find_worst_window
-from deckdrum.testing.nodes import CURRENT, Deployment, build_tenant, play
+from deckdrum.testing.nodes import CURRENT, Deployment, build_workspace, play
 from deckdrum.utils.virtualtime import run_virtual
 from deckdrum.workspaces import Workspace
 
@@ -192,7 +192,7 @@
 
 def test_limit_counts_transactions_of_all_nodes_and_not_statements() -> None:
     async def scenario(deployment: Deployment) -> None:
-        tenant = build_tenant('growers', 'key', ratePerS=2, burst=4)
+        tenant = build_workspace('growers', 'key', ratePerS=2, burst=4)
         await deployment.configure(2, tenants=[tenant])
         await curio.sleep(3)
         codes = []
@@ -216,7 +216,7 @@
 
 def test_refusal_with_a_limit_of_zero_tells_when_to_retry() -> None:
     async def scenario(deployment: Deployment) -> None:
-        tenant = build_tenant('growers', 'key', ratePerS=0, burst=0)
+        tenant = build_workspace('growers', 'key', ratePerS=0, burst=0)
         await deployment.configure(2, tenants=[tenant])
         client = await deployment.connect(CURRENT, 0, 'key')
         for _ in range(8):
--- a/deckdrum/load/limits.py
+++ b/deckdrum/load/limits.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Final
 
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 
 #: More than one, so that a data centre can lose a coordinator.
 MIN_COORDINATORS_PER_DATA_CENTRE: Final = 2
@@ -132,7 +132,7 @@
     1
     """
     by_data_centre: defaultdict[str, list[str]] = defaultdict(list)
-    for name in sorted(nodes, key=partial(weigh, _RANK_KEY)):
+    for name in sorted(nodes, key=partial(compute_rendezvous_rank, _RANK_KEY)):
         by_data_centre[nodes[name]].append(name)
     coordinators: list[str] = []
     for ranked in by_data_centre.values():
@@ -152,7 +152,7 @@
     >>> rank_keepers('growers', ['n1', 'n2', 'n3'])
     ['n2', 'n1', 'n3']
     """
-    return sorted(coordinators, key=partial(weigh, workspace))
+    return sorted(coordinators, key=partial(compute_rendezvous_rank, workspace))
 
 
 def compute_coordinator_burst(
@@ -212,7 +212,9 @@
     3.0
     """
     share = tolerance.measure(rate, burst) * ISOLATED_FRACTION / 2 / nodes
-    rank = int.from_bytes(weigh(workspace, node)[:_DRAW_BYTES])
+    rank = int.from_bytes(
+        compute_rendezvous_rank(workspace, node)[:_DRAW_BYTES]
+    )
     draw = rank / _BYTE_VALUES**_DRAW_BYTES
     whole, remainder = divmod(share, 1)
     at_once = whole + (draw < remainder)
--- a/deckdrum/load/placement.py
+++ b/deckdrum/load/placement.py
@@ -21,7 +21,7 @@
 from functools import partial
 from typing import Final
 
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 
 #: Fraction of a server's connections that is allocated.  Connections of nodes
 #: that lost power linger, so the rest is needed when these nodes restart.
@@ -99,7 +99,9 @@
     each = allocated // len(by_data_centre)
     if not each:
         # Fewer connections than data centres: one holder in some of them.
-        centres = sorted(by_data_centre, key=partial(weigh, service))
+        centres = sorted(
+            by_data_centre, key=partial(compute_rendezvous_rank, service)
+        )
         return tuple(
             by_data_centre[centre][0] for centre in centres[:allocated]
         )
@@ -126,7 +128,9 @@
     >>> rank_holders('stalls', 'growers', ['n1', 'n2', 'n3'])
     ['n1', 'n2', 'n3']
     """
-    return sorted(holders, key=partial(weigh, service, workspace))
+    return sorted(
+        holders, key=partial(compute_rendezvous_rank, service, workspace)
+    )
 
 
 def rank_replicas(workspace: str, replicas: Iterable[str]) -> list[str]:
@@ -140,7 +144,7 @@
     >>> rank_replicas('growers', ['i-1', 'i-2'])
     ['i-1', 'i-2']
     """
-    return sorted(replicas, key=partial(weigh, workspace))
+    return sorted(replicas, key=partial(compute_rendezvous_rank, workspace))
 
 
 def allocate_connections(
@@ -219,7 +223,7 @@
 ) -> dict[str, list[str]]:
     """Return the nodes of each data centre, ranked for a group."""
     by_data_centre: defaultdict[str, list[str]] = defaultdict(list)
-    for name in sorted(nodes, key=partial(weigh, service)):
+    for name in sorted(nodes, key=partial(compute_rendezvous_rank, service)):
         by_data_centre[nodes[name]].append(name)
     return dict(by_data_centre)
 
@@ -230,8 +234,11 @@
     """Return the nodes by rank, alternating between data centres."""
     by_data_centre: defaultdict[str, list[str]] = defaultdict(list)
     ranks: dict[str, tuple[int, bytes]] = {}
-    for name in sorted(nodes, key=partial(weigh, server)):
+    for name in sorted(nodes, key=partial(compute_rendezvous_rank, server)):
         centre = nodes[name]
-        ranks[name] = (len(by_data_centre[centre]), weigh(server, centre))
+        ranks[name] = (
+            len(by_data_centre[centre]),
+            compute_rendezvous_rank(server, centre),
+        )
         by_data_centre[centre].append(name)
     return sorted(nodes, key=lambda each: (ranks[each], each))
--- a/deckdrum/load/tests/test_workspaces.py
+++ b/deckdrum/load/tests/test_workspaces.py
@@ -11,7 +11,7 @@
 from deckdrum.load.placement import rank_holders, rank_replicas
 from deckdrum.outcomes import Refusal
 from deckdrum.testing.pools import CountedPool, build_pool
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 from deckdrum.utils.virtualtime import run_virtual
 
 WORKSPACES: Final = tuple(f'w{number}' for number in range(78))
@@ -33,7 +33,10 @@
 ) -> tuple[str, str]:
     """Use the holder in the node's data centre, and a random server."""
     local_holders = [name for name in HOLDERS if int(name[1:]) % 3 == node % 3]
-    holder = min(local_holders, key=lambda name: weigh(f'n{node}', name))
+    holder = min(
+        local_holders,
+        key=lambda name: compute_rendezvous_rank(f'n{node}', name),
+    )
     return holder, randomness.choice(SERVERS)
 
 
--- a/deckdrum/node/failure_detection.py
+++ b/deckdrum/node/failure_detection.py
@@ -15,7 +15,7 @@
 from deckdrum.fleet.node_peers import NodePeers
 from deckdrum.outcomes.errors import StoreError
 from deckdrum.utils import Journal
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 
 PROBE_INTERVAL_S: Final = 2.0
 #: Longer than a restart and than most network partitions and freezes.
@@ -126,4 +126,4 @@
 
 
 def _rank(name: str) -> bytes:
-    return weigh(_RANK_DOMAIN, name)
+    return compute_rendezvous_rank(_RANK_DOMAIN, name)
--- a/deckdrum/node/sessions.py
+++ b/deckdrum/node/sessions.py
@@ -75,7 +75,7 @@
     def log_refused_session(self, database: str, refusal: Refusal) -> None:
         """Count and log a session that was refused."""
         self._counters.count('refused_sessions')
-        self._journal.record_often(
+        self._journal.record_rate_limited(
             'session.refused',
             database=database,
             reason=refusal.text,
@@ -119,18 +119,18 @@
         guarantee = route.guarantee.value if route else 'none'
         is_refused = isinstance(outcome, Refusal)
         outcome_code = outcome.code if isinstance(outcome, Refusal) else 'done'
-        self._counters.note_latency(guarantee, outcome_code, seconds)
+        self._counters.record_latency(guarantee, outcome_code, seconds)
         is_late = route is not None and seconds > route.objective
         service = route.service if route else ''
         if _is_counted(request, outcome):
-            self._counters.count_work(
+            self._counters.count_statement_outcome(
                 service,
                 session.state.workspace,
                 get_outcome_label(outcome, is_late=is_late),
             )
         if not is_refused and not is_late:
             return
-        self._journal.record_often(
+        self._journal.record_rate_limited(
             'request.unserved' if is_refused else 'request.late',
             request=request.id,
             operation=type(request.operation).__name__,
--- a/deckdrum/node/stopping.py
+++ b/deckdrum/node/stopping.py
@@ -66,13 +66,13 @@
         self._node = node
         self._listener = listener
 
-    async def run(self, grace: float) -> None:
-        """Shut the node down within `grace` seconds."""
+    async def run(self, grace_period: float) -> None:
+        """Shut the node down within `grace_period` seconds."""
         await self._node.begin_shutdown()
         began = await curio.clock()
         elapsed: float = 0
-        while elapsed < grace - KILL_MARGIN_S:
-            await self._run_due_steps(elapsed, grace)
+        while elapsed < grace_period - KILL_MARGIN_S:
+            await self._run_due_steps(elapsed, grace_period)
             if elapsed >= READINESS_PROPAGATION_S and self._is_drained():
                 break
             await curio.sleep(DRAIN_POLL_INTERVAL_S)
@@ -80,15 +80,15 @@
         await self._node.close()
         await self._listener.close()
 
-    async def _run_due_steps(self, elapsed: float, grace: float) -> None:
+    async def _run_due_steps(self, elapsed: float, grace_period: float) -> None:
         """Run the shutdown steps due after `elapsed` seconds."""
-        half = grace * TRANSACTION_DRAIN_FRACTION
+        half = grace_period * TRANSACTION_DRAIN_FRACTION
         if elapsed >= min(READINESS_PROPAGATION_S, half):
             await self._listener.close_quiet(IDLE_CLOSE_FRACTION)
         if elapsed >= half:
             self._node.is_closing_sessions = True
             await self._node.rollback_transactions('the node stops')
-        if elapsed >= grace - ACCEPT_CUTOFF_S:
+        if elapsed >= grace_period - ACCEPT_CUTOFF_S:
             # The platform keeps sending connections while few other nodes are
             # ready; requests on them could not be answered before the kill.
             await self._listener.stop_accepting()
--- a/deckdrum/operations/__init__.py
+++ b/deckdrum/operations/__init__.py
@@ -4,7 +4,7 @@
     Answer,
     Rejection,
     RejectionCause,
-    Standing,
+    TransactionState,
 )
 from deckdrum.operations.requests import (
     Begin,
@@ -35,5 +35,5 @@
     'Rollback',
     'Run',
     'SetValue',
-    'Standing',
+    'TransactionState',
 ]
--- a/deckdrum/operations/answers.py
+++ b/deckdrum/operations/answers.py
@@ -6,7 +6,7 @@
 from deckdrum.sessions import Position
 
 
-class Standing(StrEnum):
+class TransactionState(StrEnum):
     """Whether a connection is inside a transaction."""
 
     IDLE = 'idle'
@@ -34,7 +34,7 @@
 
     rows: tuple[str, ...] = ()
     completion: str = ''
-    standing: Standing = Standing.IDLE
+    standing: TransactionState = TransactionState.IDLE
     position: Position | None = None
 
 
@@ -76,11 +76,11 @@
 
     cause: RejectionCause
     text: str = ''
-    standing: Standing = Standing.IDLE
+    standing: TransactionState = TransactionState.IDLE
     position: Position | None = None
 
     @property
-    def tells_position(self) -> bool:
+    def reports_position(self) -> bool:
         """Whether it tells where the log of a primary stands.
 
         An overloaded one tells so too, and then nothing else does.
--- a/deckdrum/platform/backends.py
+++ b/deckdrum/platform/backends.py
@@ -16,19 +16,24 @@
     ServerStatus,
     WrongServerError,
 )
-from deckdrum.operations import Answer, Rejection, RejectionCause, Standing
-from deckdrum.platform.lines import LineError, LineReader, encode_line
+from deckdrum.operations import (
+    Answer,
+    Rejection,
+    RejectionCause,
+    TransactionState,
+)
+from deckdrum.platform.framing import LineError, LineReader, encode_line
 from deckdrum.platform.statements import encode_operation
 from deckdrum.platform.wire import (
-    NOTHING,
-    OWN_ID,
+    NO_VALUE,
+    PROXY_REQUEST_ID,
     decode_error,
     decode_position,
     decode_ready,
     encode_position,
 )
 from deckdrum.sessions import Position
-from deckdrum.sessions.position import NOWHERE
+from deckdrum.sessions.position import LOG_START
 from deckdrum.utils import ByteStream, Stream
 
 _ROLES: Final = MappingProxyType(
@@ -61,9 +66,9 @@
     async def run(self, call: Call) -> Answer | Rejection:
         """Run one operation and return the whole answer."""
         text = encode_operation(call.operation)
-        if call.floor is not None and call.floor > NOWHERE:
+        if call.floor is not None and call.floor > LOG_START:
             text = f'AFTER {encode_position(call.floor)} {text}'
-        return await self._ask(call.request_id or OWN_ID, text)
+        return await self._ask(call.request_id or PROXY_REQUEST_ID, text)
 
     async def read_status(self) -> ServerStatus | Rejection:
         """Ask the database about itself."""
@@ -83,7 +88,7 @@
 
     async def reset(self) -> bool:
         """Drop session values and prepared statements."""
-        reply = await self._ask(OWN_ID, 'RESET')
+        reply = await self._ask(PROXY_REQUEST_ID, 'RESET')
         if isinstance(reply, Rejection):
             return False
         self.state.values.clear()
@@ -95,7 +100,7 @@
         await self.stream.close()
 
     async def _ask_status(self, text: str) -> ServerStatus | Rejection:
-        reply = await self._ask(OWN_ID, text)
+        reply = await self._ask(PROXY_REQUEST_ID, text)
         if isinstance(reply, Rejection):
             return reply
         try:
@@ -119,7 +124,7 @@
             if word == 'ROW':
                 rows.append(rest)
             elif word == 'COMPLETE':
-                completion = '' if rest == NOTHING else rest
+                completion = '' if rest == NO_VALUE else rest
                 standing, position = await self._read_ready()
                 return Answer(tuple(rows), completion, standing, position)
             elif word == 'ERROR':
@@ -129,7 +134,7 @@
             else:
                 raise LineError(f'{word!r}, expected ROW, COMPLETE or ERROR')
 
-    async def _read_ready(self) -> tuple[Standing, Position | None]:
+    async def _read_ready(self) -> tuple[TransactionState, Position | None]:
         """Return what the message at the end of an answer says."""
         return decode_ready(await read_line(self._reader))
 
@@ -243,7 +248,7 @@
     return ServerStatus(
         role,
         int(fields[1]),
-        received or NOWHERE,
+        received or LOG_START,
         int(fields[3]),
     )
 
--- a/deckdrum/platform/configuration.py
+++ b/deckdrum/platform/configuration.py
@@ -65,7 +65,7 @@
     rate_per_s: float | None = None
     burst: float = float(0)
 
-    def find_fingerprints(self) -> list[str]:
+    def list_fingerprints(self) -> list[str]:
         """Return the fingerprints of its keys."""
         return self.fingerprints or list(map(fingerprint_key, self.api_keys))
 
@@ -120,7 +120,7 @@
         [
             fingerprint
             for tenant in tenants
-            for fingerprint in tenant.find_fingerprints()
+            for fingerprint in tenant.list_fingerprints()
         ],
     )
     _refuse_twice('route', [route.host for route in raw.routes])
@@ -170,7 +170,7 @@
         {
             fingerprint: tenant.name
             for tenant in raw
-            for fingerprint in tenant.find_fingerprints()
+            for fingerprint in tenant.list_fingerprints()
         },
     )
 
@@ -202,7 +202,7 @@
         msgspec.structs.replace(
             tenant,
             api_keys=[],
-            fingerprints=tenant.find_fingerprints(),
+            fingerprints=tenant.list_fingerprints(),
         )
         for tenant in raw.tenants
     ]
--- a/deckdrum/platform/lines.py
+++ b/deckdrum/platform/framing.py
@@ -15,7 +15,7 @@
 _SHOWN: Final = 40
 _END: Final = b'\r\n'
 #: What could make a database see two messages in one.
-UNSAFE: Final = re.compile(r'[\r\n\x00]')
+UNSAFE_CHARACTERS: Final = re.compile(r'[\r\n\x00]')
 
 
 class LineError(ValueError):
@@ -78,7 +78,7 @@
             text = line.decode()
         except UnicodeDecodeError as error:
             raise LineError('a message is no text') from error
-        if UNSAFE.search(text):
+        if UNSAFE_CHARACTERS.search(text):
             # A database might take what follows for a message of its own.
             raise LineError('a message holds a bare line end or NUL')
         return text
--- a/deckdrum/platform/frontend.py
+++ b/deckdrum/platform/frontend.py
@@ -7,9 +7,9 @@
 
 from deckdrum.node import Node
 from deckdrum.node.stopping import ClientListener
-from deckdrum.operations import Standing
+from deckdrum.operations import TransactionState
 from deckdrum.outcomes import Code, Refusal, refuse
-from deckdrum.platform.lines import LineError, LineReader
+from deckdrum.platform.framing import LineError, LineReader
 from deckdrum.platform.wire import (
     decode_request,
     decode_startup,
@@ -22,10 +22,10 @@
 from deckdrum.workspaces import fingerprint_key
 
 #: Longest wait for a client's first message, in seconds.
-START_LIMIT: Final = 10.0
+STARTUP_TIMEOUT_S: Final = 10.0
 #: Longest wait for a node's first configuration, in seconds; clients close
 #: when they are not greeted within 2 s.
-CONFIGURED_LIMIT: Final = 1.8
+CONFIGURATION_TIMEOUT_S: Final = 1.8
 
 
 class ClientConnection:
@@ -74,7 +74,7 @@
         if session is None:
             return
         self._session = session
-        await self._stream.send(encode_ready(Standing.IDLE))
+        await self._stream.send(encode_ready(TransactionState.IDLE))
         while True:
             line = await self._reader.read()
             request = None if line is None else decode_request(line)
@@ -89,12 +89,12 @@
 
     async def _start(self) -> CallerSession | None:
         line = None
-        async with curio.ignore_after(START_LIMIT):
+        async with curio.ignore_after(STARTUP_TIMEOUT_S):
             line = await self._reader.read()
         if line is None:
             return None
         database, key = decode_startup(line)
-        if not await self._node.wait_for_configuration(CONFIGURED_LIMIT):
+        if not await self._node.wait_for_configuration(CONFIGURATION_TIMEOUT_S):
             refusal = refuse(Code.NOT_READY)
             await self._stream.send(encode_refusal(refusal))
             return None
--- a/deckdrum/platform/duties.py
+++ b/deckdrum/platform/promotion_client.py
@@ -14,7 +14,7 @@
 from deckdrum.utils.http import HttpClient, Request
 
 #: Longest wait for a connection, in seconds.
-CONNECT_LIMIT: Final = 0.4
+PROMOTION_CONNECT_TIMEOUT_S: Final = 0.4
 _HOLDER_HEADER: Final = 'X-Deckdrum-Holder'
 _FENCE_HEADER: Final = 'X-Deckdrum-Fence'
 _OUTCOMES: Final = MappingProxyType(
@@ -30,7 +30,7 @@
 )
 
 
-class PlatformDuty(PromotionClient):
+class PlatformPromotionClient(PromotionClient):
     """Promotes databases through the platform.
 
     Parameters
@@ -49,7 +49,7 @@
     ) -> PromotionOutcome:
         """Give an order over a connection of its own."""
         # An old connection could be dead, and would then lose the answer.
-        client = HttpClient(self._address, CONNECT_LIMIT)
+        client = HttpClient(self._address, PROMOTION_CONNECT_TIMEOUT_S)
         body = msgspec.json.encode(
             {'service': order.service, 'id': order.server},
         )
--- a/deckdrum/platform/records.py
+++ b/deckdrum/platform/records.py
@@ -29,7 +29,7 @@
 CONFIGURATION_NAME: Final = 'main'
 #: Raised where an object is not what the platform's pages say.  Anybody may
 #: write objects: also numbers without bounds, and lists nested without end.
-UNREADABLE: Final = (
+DECODING_ERRORS: Final = (
     msgspec.DecodeError,
     ValueError,
     KeyError,
@@ -39,9 +39,9 @@
 )
 #: Largest whole number that every writer of JSON keeps exact.
 _EXACT_BITS: Final = 53
-MOST_COUNT: Final = 2**_EXACT_BITS
+MAX_COUNT: Final = 2**_EXACT_BITS
 #: Deepest nesting of an object that is read; no page needs more than ten.
-MOST_DEPTH: Final = 64
+MAX_NESTING_DEPTH: Final = 64
 #: Strings, and the signs that open and close lists and objects.
 _TOKENS: Final = re.compile(rb'"(?:[^"\\]|\\.)*"|[\[\]{}]', re.DOTALL)
 #: Bytes that may stand in no string; elsewhere they are spaces.
@@ -54,7 +54,7 @@
 _PRIMARY: Final = 'primary'
 
 _Decoded = TypeVar('_Decoded')
-_Count = Annotated[int, msgspec.Meta(ge=0, le=MOST_COUNT)]
+_Count = Annotated[int, msgspec.Meta(ge=0, le=MAX_COUNT)]
 
 
 class _Server(CamelCase):
@@ -151,7 +151,7 @@
     """Return the name of an object; empty if it cannot be read."""
     try:
         return msgspec.json.decode(encoded, type=StoreObject).meta.name
-    except UNREADABLE:
+    except DECODING_ERRORS:
         return ''
 
 
@@ -159,12 +159,12 @@
     """Read an object of a kind, whoever has written it."""
     try:
         found = msgspec.json.decode(encoded, type=StoreObject)
-    except UNREADABLE as error:
+    except DECODING_ERRORS as error:
         return ReadObject('', 0, None, f'no object: {error}')
     name, revision = found.meta.name, found.meta.revision
     try:
         record = _DECODERS[kind](name, found.spec)
-    except UNREADABLE as error:
+    except DECODING_ERRORS as error:
         return ReadObject(name, revision, None, f'no {kind}: {error}')
     return ReadObject(name, revision, record)
 
@@ -175,19 +175,19 @@
     Raises
     ------
     Exception
-        One of `UNREADABLE`, with the place and what was expected there.
+        One of `DECODING_ERRORS`, with the place and what was expected there.
     """
     try:
         return msgspec.json.decode(body, type=expected)
     except RecursionError:
-        return msgspec.json.decode(cut_deep(body), type=expected)
+        return msgspec.json.decode(replace_deep_values(body), type=expected)
     except msgspec.DecodeError:
         # Bytes that JSON forbids, in a string of another writer.
         cleaned = _CONTROLS.sub(b' ', body)
-        return msgspec.json.decode(cut_deep(cleaned), type=expected)
+        return msgspec.json.decode(replace_deep_values(cleaned), type=expected)
 
 
-def cut_deep(body: bytes, most: int = MOST_DEPTH) -> bytes:
+def replace_deep_values(body: bytes, most: int = MAX_NESTING_DEPTH) -> bytes:
     """Return JSON with what is nested beyond all use replaced by ``null``.
 
     An object of another writer may be nested so deeply that the whole answer
@@ -195,7 +195,7 @@
 
     Examples
     --------
-    >>> cut_deep(b'[{"a": [[["]"]]], "b": 1}]', 3)
+    >>> replace_deep_values(b'[{"a": [[["]"]]], "b": 1}]', 3)
     b'[{"a": [null], "b": 1}]'
     """
     kept: list[bytes] = []
@@ -238,8 +238,8 @@
 def _decode_group(name: str, spec: msgspec.Raw) -> GroupRecord:
     record = msgspec.json.decode(spec, type=GroupRecord)
     _check_name(name, record.service)
-    if not 0 <= record.term <= MOST_COUNT:
-        raise ValueError(f'term {record.term}, expected 0 to {MOST_COUNT}')
+    if not 0 <= record.term <= MAX_COUNT:
+        raise ValueError(f'term {record.term}, expected 0 to {MAX_COUNT}')
     return record
 
 
--- a/deckdrum/platform/service.py
+++ b/deckdrum/platform/service.py
@@ -8,24 +8,24 @@
 
 import curio
 
-from deckdrum.commands.signals import STOPPING, catch_signals
+from deckdrum.commands.signals import STOP_SIGNALS, catch_signals
 from deckdrum.fleet.policies import ALL_POLICIES, Policy, exclude_policies
 from deckdrum.node import Node
 from deckdrum.node.stopping import GracefulShutdown
 from deckdrum.outcomes.errors import SettingsError
 from deckdrum.platform.backends import PlatformBackend
-from deckdrum.platform.duties import PlatformDuty
 from deckdrum.platform.frontend import Frontend
+from deckdrum.platform.promotion_client import PlatformPromotionClient
 from deckdrum.platform.settings import (
     PlatformSettings,
-    find_settings,
+    find_settings_path,
     load_settings,
 )
 from deckdrum.platform.store import PlatformStore
 from deckdrum.utils import Journal
 from deckdrum.utils.counters import Counters
 from deckdrum.utils.http import HttpServer, Reply, Request
-from deckdrum.utils.journal import open_patient_journal
+from deckdrum.utils.journal import open_nonblocking_journal
 
 _READY_PATH: Final = '/-/ready'
 _METRICS_PATH: Final = '/metrics'
@@ -35,7 +35,7 @@
 _SIGNAL_BYTES: Final = 16
 
 
-class Program:
+class NodeProgram:
     """A node with its addresses on the platform.
 
     Parameters
@@ -66,7 +66,7 @@
         self.node = Node(
             node_settings,
             store,
-            PlatformDuty(settings.duties_address),
+            PlatformPromotionClient(settings.cloud_api_address),
             partial(PlatformBackend, node=node_settings.name),
             journal,
             counters,
@@ -89,9 +89,9 @@
         await self.frontend.start()
         while True:
             for number in await signals.recv(_SIGNAL_BYTES):
-                if number in STOPPING:
+                if number in STOP_SIGNALS:
                     stop = GracefulShutdown(self.node, self.frontend)
-                    await stop.run(self._settings.grace)
+                    await stop.run(self._settings.grace_period)
                     return
                 self._reload()
 
@@ -125,9 +125,9 @@
     policies: frozenset[Policy],
 ) -> None:
     """Run a node until a signal asks to stop."""
-    journal = open_patient_journal(settings.node_name, sys.stdout.fileno())
-    program = Program(path, settings, journal, policies)
-    with catch_signals((*STOPPING, signal.SIGHUP)) as signals:
+    journal = open_nonblocking_journal(settings.node_name, sys.stdout.fileno())
+    program = NodeProgram(path, settings, journal, policies)
+    with catch_signals((*STOP_SIGNALS, signal.SIGHUP)) as signals:
         await program.run(signals)
 
 
@@ -156,7 +156,7 @@
 def main() -> int:
     """Run the program and return its exit code."""
     try:
-        path = find_settings()
+        path = find_settings_path()
         settings = load_settings(path)
         policies = parse_arguments(sys.argv[1:])
     except SettingsError as error:
--- a/deckdrum/platform/settings.py
+++ b/deckdrum/platform/settings.py
@@ -97,12 +97,12 @@
         return Address.parse(self.platform.address)
 
     @property
-    def duties_address(self) -> Address:
+    def cloud_api_address(self) -> Address:
         """The platform's calls."""
         return Address.parse(self.cloud_api.address)
 
     @property
-    def grace(self) -> float:
+    def grace_period(self) -> float:
         """Time between the request to stop and the kill, in seconds."""
         return self.bounds.grace_s
 
@@ -130,7 +130,7 @@
         )
 
 
-def find_settings() -> Path:
+def find_settings_path() -> Path:
     """Return the path of the settings file.
 
     Raises
--- a/deckdrum/platform/statements.py
+++ b/deckdrum/platform/statements.py
@@ -16,7 +16,7 @@
     Run,
     SetValue,
 )
-from deckdrum.platform.lines import LineError, shorten
+from deckdrum.platform.framing import LineError, shorten
 
 _EFFECTS: Final = MappingProxyType(
     {'READ': Effect.READ, 'WRITE': Effect.WRITE},
--- a/deckdrum/platform/store.py
+++ b/deckdrum/platform/store.py
@@ -19,8 +19,8 @@
 from deckdrum.platform.configuration import decode_configuration
 from deckdrum.platform.records import (
     CONFIGURATION_NAME,
+    DECODING_ERRORS,
     KIND_NAMES,
-    UNREADABLE,
     EventList,
     ObjectList,
     StoreObject,
@@ -37,11 +37,11 @@
 
 #: Longest wait for the answer to a plain call, in seconds.  The store answers
 #: in 4 ms; on slow days it takes up to a hundred times as long.
-CALL_LIMIT: Final = 1.0
+STORE_CALL_TIMEOUT_S: Final = 1.0
 #: What a watch may take beyond its own wait, in seconds.
-WATCH_SLACK: Final = 1.5
+WATCH_MARGIN_S: Final = 1.5
 #: Characters of the reason why an object cannot be read that the log keeps.
-MOST_REASON: Final = 200
+MAX_LOGGED_REASON_CHARACTERS: Final = 200
 _MS: Final = 1000
 _OK: Final = 200
 _CREATED: Final = 201
@@ -101,13 +101,15 @@
         """Return what changed after `revision`."""
         query = {'watch': revision, 'waitMs': int(wait * _MS)}
         return await self._read_changes(
-            'watch', kind, query, wait + WATCH_SLACK
+            'watch', kind, query, wait + WATCH_MARGIN_S
         )
 
     async def peek(self, kind: Kind, revision: int) -> Changes:
         """Return what changed after `revision`, for a tenth of the price."""
         query = {'watch': revision, 'waitMs': 0, 'allowStale': 1}
-        return await self._read_changes('peek', kind, query, CALL_LIMIT)
+        return await self._read_changes(
+            'peek', kind, query, STORE_CALL_TIMEOUT_S
+        )
 
     async def fetch(self, kind: Kind, name: str) -> Entry | None:
         """Return a record as it is now, or None if there is none."""
@@ -186,7 +188,7 @@
         call: str,
         kind: Kind,
         request: Request,
-        limit: float = CALL_LIMIT,
+        limit: float = STORE_CALL_TIMEOUT_S,
     ) -> Reply:
         """Make one call, and count it by what came of it."""
         client = self._watching if call == 'watch' else self._client
@@ -219,12 +221,12 @@
             return Entry(found.name, found.revision, None)
         if found.fault:
             self._counters.count('unreadable_records')
-            self._journal.record_often(
+            self._journal.record_rate_limited(
                 'store.unreadable_record',
                 kind=kind,
                 name=found.name,
                 revision=found.revision,
-                reason=found.fault[:MOST_REASON],
+                reason=found.fault[:MAX_LOGGED_REASON_CHARACTERS],
             )
         return found.entry if found.name else None
 
@@ -249,6 +251,6 @@
 def _decode(body: bytes, expected: type[_Decoded]) -> _Decoded:
     try:
         return decode_answer(body, expected)
-    except UNREADABLE as error:
+    except DECODING_ERRORS as error:
         name = expected.__name__
         raise StoreError(f'the store sent no {name}: {error}') from error
--- a/deckdrum/platform/tests/test_configuration.py
+++ b/deckdrum/platform/tests/test_configuration.py
@@ -9,9 +9,9 @@
 from deckdrum.commands import control
 from deckdrum.outcomes.errors import DocumentError
 from deckdrum.platform.configuration import check_configuration
-from deckdrum.testing.nodes import build_config, build_route, build_tenant
+from deckdrum.testing.nodes import build_config, build_route, build_workspace
 
-GROWERS = build_tenant('growers', 'key-1', ratePerS=2, burst=4)
+GROWERS = build_workspace('growers', 'key-1', ratePerS=2, burst=4)
 
 
 def check(**fields: Any) -> None:
@@ -19,7 +19,7 @@
 
 
 def test_whole_configuration_passes() -> None:
-    check(tenants=[GROWERS, build_tenant('shoppers', 'key-2')])
+    check(tenants=[GROWERS, build_workspace('shoppers', 'key-2')])
 
 
 @pytest.mark.parametrize(
@@ -28,15 +28,15 @@
         ('workspace growers: 2 times', {'tenants': [GROWERS, GROWERS]}),
         (
             'key [0-9a-f]{32}: 2 times',
-            {'tenants': [GROWERS, build_tenant('shoppers', 'key-1')]},
+            {'tenants': [GROWERS, build_workspace('shoppers', 'key-1')]},
         ),
         (
             'rate -1.0, expected 0 or more',
-            {'tenants': [build_tenant('growers', ratePerS=-1)]},
+            {'tenants': [build_workspace('growers', ratePerS=-1)]},
         ),
         (
             'burst -1.0, expected 0 or more',
-            {'tenants': [build_tenant('growers', burst=-1)]},
+            {'tenants': [build_workspace('growers', burst=-1)]},
         ),
         (
             'service barns, expected one that is declared',
--- a/deckdrum/platform/tests/test_foreign_entries.py
+++ b/deckdrum/platform/tests/test_foreign_entries.py
@@ -22,7 +22,7 @@
     decode_answer,
     read_object,
 )
-from deckdrum.testing.aims import GAP_AIM
+from deckdrum.testing.aims import WRITE_GAP_P99_S
 from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, play
 
 #: Drawn objects for each kind; four kinds make more than ten thousand.
@@ -232,7 +232,7 @@
         await curio.sleep(0.5)
         assert (await client.ask('WRITE a 1')).is_done
         await deployment.group.primary.crash()
-        assert await client.write_until_done() < GAP_AIM
+        assert await client.write_until_done() < WRITE_GAP_P99_S
         await deployment.wait_for(partial(_is_registered, deployment, 'n1'))
 
     play(scenario)
--- a/deckdrum/platform/tests/test_golden.py
+++ b/deckdrum/platform/tests/test_golden.py
@@ -9,7 +9,7 @@
 from deckdrum.testing.nodes import (
     BOUNDED,
     CURRENT,
-    OWN,
+    OWN_WRITES,
     Deployment,
     LineClient,
     play,
@@ -27,7 +27,7 @@
         ('BEGIN READ', 'READ a', 'WRITE a 1', 'ROLLBACK', 'READ a'),
     ),
     'prepared': (
-        OWN,
+        OWN_WRITES,
         (
             'PREPARE s1 WRITE q1',
             'PREPARE s2 READ q2',
--- a/deckdrum/platform/tests/test_settings.py
+++ b/deckdrum/platform/tests/test_settings.py
@@ -9,7 +9,7 @@
 from deckdrum.platform.settings import (
     SETTINGS_VARIABLE,
     decode_settings,
-    find_settings,
+    find_settings_path,
     load_settings,
 )
 from deckdrum.testing.builders import build_platform_settings
@@ -23,7 +23,7 @@
     assert node.data_centre == 'ba-hall'
     assert node.peer_address == Address('10.1.0.8', 7440)
     assert node.seeds == (Address('10.1.0.9', 7440),)
-    assert settings.grace == 6
+    assert settings.grace_period == 6
 
 
 @pytest.mark.parametrize(
@@ -66,6 +66,6 @@
 ) -> None:
     monkeypatch.delenv(SETTINGS_VARIABLE, raising=False)
     with pytest.raises(SettingsError, match=SETTINGS_VARIABLE):
-        find_settings()
+        find_settings_path()
     with pytest.raises(SettingsError, match=r'none\.json'):
         load_settings(tmp_path / 'none.json')
--- a/deckdrum/platform/tests/test_wire.py
+++ b/deckdrum/platform/tests/test_wire.py
@@ -15,11 +15,11 @@
     Prepare,
     RejectionCause,
     Run,
-    Standing,
+    TransactionState,
 )
 from deckdrum.outcomes import CODES, Code, Fate, refuse
 from deckdrum.platform.backends import decode_status
-from deckdrum.platform.lines import MAX_LINE_BYTES, LineError
+from deckdrum.platform.framing import MAX_LINE_BYTES, LineError
 from deckdrum.platform.statements import decode_operation, encode_operation
 from deckdrum.platform.wire import (
     decode_error,
@@ -119,22 +119,26 @@
 
 @pytest.mark.parametrize('code', list(Code))
 def test_promises_are_given_only_where_nothing_has_run(code: Code) -> None:
-    line = encode_outcome(refuse(code), Standing.IDLE).decode()
+    line = encode_outcome(refuse(code), TransactionState.IDLE).decode()
     word = line.split(' ')[1]
     if word in PROMISES:
         assert CODES[code].fate is Fate.NOT_RUN
 
 
 def test_refusal_tells_when_to_come_back() -> None:
-    line = encode_outcome(refuse(Code.NO_PRIMARY), Standing.IDLE).decode()
+    line = encode_outcome(
+        refuse(Code.NO_PRIMARY), TransactionState.IDLE
+    ).decode()
     assert line.startswith('ERROR BUSY not run')
     assert 'retry after 1000 ms' in line
     assert line.endswith('READY I -\r\n')
 
 
 def test_answer_is_encoded_with_rows_signature_and_position() -> None:
-    answer = Answer(('x', 'y'), '7.1f', Standing.IDLE, Position(3, 1209))
-    assert encode_outcome(answer, Standing.IDLE) == (
+    answer = Answer(
+        ('x', 'y'), '7.1f', TransactionState.IDLE, Position(3, 1209)
+    )
+    assert encode_outcome(answer, TransactionState.IDLE) == (
         b'ROW x\r\nROW y\r\nCOMPLETE 7.1f\r\nREADY I 3.1209\r\n'
     )
 
--- a/deckdrum/platform/wire.py
+++ b/deckdrum/platform/wire.py
@@ -4,20 +4,34 @@
 from types import MappingProxyType
 from typing import Final
 
-from deckdrum.operations import Answer, RejectionCause, Request, Standing
+from deckdrum.operations import (
+    Answer,
+    RejectionCause,
+    Request,
+    TransactionState,
+)
 from deckdrum.outcomes import Code, Refusal
-from deckdrum.platform.lines import UNSAFE, LineError, encode_line, shorten
+from deckdrum.platform.framing import (
+    UNSAFE_CHARACTERS,
+    LineError,
+    encode_line,
+    shorten,
+)
 from deckdrum.platform.statements import decode_operation
 from deckdrum.sessions import Position
 
 #: The id of statements that no client has sent.
-OWN_ID: Final = '-'
+PROXY_REQUEST_ID: Final = '-'
 #: Stands for a position, or the text of COMPLETE, that is not there.
-NOTHING: Final = '-'
+NO_VALUE: Final = '-'
 _MS: Final = 1000
 _READY_FIELDS: Final = 3
 _STANDING_WORDS: Final = MappingProxyType(
-    {'I': Standing.IDLE, 'T': Standing.OPEN, 'E': Standing.FAILED},
+    {
+        'I': TransactionState.IDLE,
+        'T': TransactionState.OPEN,
+        'E': TransactionState.FAILED,
+    },
 )
 _WORDS_OF_STANDING: Final = MappingProxyType(
     {standing: word for word, standing in _STANDING_WORDS.items()},
@@ -109,7 +123,7 @@
     request_id, _, text = rest.partition(' ')
     if word != 'QUERY' or not request_id or not text:
         raise LineError(f'{shorten(line)}, expected QUERY id text')
-    if request_id == OWN_ID:
+    if request_id == PROXY_REQUEST_ID:
         raise LineError('the id - is not for clients')
     return Request(request_id, decode_operation(text))
 
@@ -117,7 +131,7 @@
 def encode_position(position: Position | None) -> str:
     """Return a position as it stands in messages."""
     if position is None:
-        return NOTHING
+        return NO_VALUE
     return f'{position.term}.{position.offset}'
 
 
@@ -129,7 +143,7 @@
     LineError
         If it is neither.
     """
-    if text == NOTHING:
+    if text == NO_VALUE:
         return None
     found = _POSITION.fullmatch(text)
     if found is None:
@@ -137,7 +151,7 @@
     return Position(int(found[1]), int(found[2]))
 
 
-def decode_ready(line: str) -> tuple[Standing, Position | None]:
+def decode_ready(line: str) -> tuple[TransactionState, Position | None]:
     """Return standing and position of the message that ends an answer.
 
     Raises
@@ -160,18 +174,22 @@
     return _CAUSES.get(word, RejectionCause.OTHER), f'{word} {rest}'.strip()
 
 
-def encode_ready(standing: Standing, position: Position | None = None) -> bytes:
+def encode_ready(
+    standing: TransactionState, position: Position | None = None
+) -> bytes:
     """Return the message that ends an answer."""
     word = _WORDS_OF_STANDING[standing]
     return encode_line('READY', word, encode_position(position))
 
 
-def encode_outcome(outcome: Answer | Refusal, standing: Standing) -> bytes:
+def encode_outcome(
+    outcome: Answer | Refusal, standing: TransactionState
+) -> bytes:
     """Return the whole answer to a client's request."""
     if isinstance(outcome, Refusal):
         return encode_refusal(outcome) + encode_ready(standing)
     parts = [encode_line('ROW', row) for row in outcome.rows]
-    parts.append(encode_line('COMPLETE', outcome.completion or NOTHING))
+    parts.append(encode_line('COMPLETE', outcome.completion or NO_VALUE))
     parts.append(encode_ready(standing, outcome.position))
     return b''.join(parts)
 
@@ -179,7 +197,7 @@
 def encode_refusal(refusal: Refusal) -> bytes:
     """Return the error message of a refusal, with when to come back."""
     word = _ERROR_WORDS.get(refusal.code, _DEFAULT_ERROR)
-    text = UNSAFE.sub(' ', refusal.text)
+    text = UNSAFE_CHARACTERS.sub(' ', refusal.text)
     if refusal.retry_after is not None:
         text = f'{text}; retry after {int(refusal.retry_after * _MS)} ms'
     return encode_line('ERROR', word, text)
--- a/deckdrum/proxy/admin.py
+++ b/deckdrum/proxy/admin.py
@@ -50,7 +50,7 @@
         """Stop to listen."""
         await self._server.close()
 
-    async def give_metrics(self, request: Request) -> Reply:
+    async def handle_metrics(self, request: Request) -> Reply:
         """Answer ``GET /metrics``."""
         proxy = self._proxy
         present = {
@@ -59,30 +59,30 @@
             'platform_reachable': int(proxy.view.is_reachable),
             'platform_calls': proxy.view.store.calls,
             'peer_messages': proxy.peers.control_messages,
-            'kept_services': len(proxy.keeping.keepers),
+            'kept_services': len(proxy.keeper_manager.keepers),
         }
         for name, number in present.items():
             proxy.metrics.gauges.labels(name).set(number)
         headers = {'content-type': _PROMETHEUS}
         return Reply(_OK, proxy.metrics.render(), headers)
 
-    async def give_health(self, request: Request) -> Reply:
+    async def handle_health(self, request: Request) -> Reply:
         """Answer ``GET /healthz``: the process runs."""
         return Reply.from_text('ok\n')
 
-    async def give_readiness(self, request: Request) -> Reply:
+    async def handle_readiness(self, request: Request) -> Reply:
         """Answer ``GET /readyz``: callers may be sent here."""
         if self._proxy.is_ready:
             return Reply.from_text('ready\n')
         return Reply.from_text('not ready\n', _UNAVAILABLE)
 
-    async def give_status(self, request: Request) -> Reply:
+    async def handle_status(self, request: Request) -> Reply:
         """Answer ``GET /status``."""
         proxy = self._proxy
         now = await curio.clock()
         services = {
             name: describe_keeper(keeper)
-            for name, keeper in proxy.keeping.keepers.items()
+            for name, keeper in proxy.keeper_manager.keepers.items()
         }
         return Reply.from_json(
             {
@@ -104,7 +104,7 @@
     async def explain(self, request: Request) -> Reply:
         """Answer ``GET /explain?service=NAME``."""
         name = request.query.get('service', '')
-        keeper = self._proxy.keeping.keepers.get(name)
+        keeper = self._proxy.keeper_manager.keepers.get(name)
         if keeper is None:
             return Reply.from_text(f'{name!r} is not kept here\n', _NOT_FOUND)
         decisions = list(keeper.decisions)[-_SHOWN:]
@@ -134,10 +134,10 @@
 _Step = Callable[[AdminPort, Request], Awaitable[Reply]]
 _STEPS: Final[Mapping[_Place, _Step]] = MappingProxyType(
     {
-        ('GET', '/metrics'): AdminPort.give_metrics,
-        ('GET', '/healthz'): AdminPort.give_health,
-        ('GET', '/readyz'): AdminPort.give_readiness,
-        ('GET', '/status'): AdminPort.give_status,
+        ('GET', '/metrics'): AdminPort.handle_metrics,
+        ('GET', '/healthz'): AdminPort.handle_health,
+        ('GET', '/readyz'): AdminPort.handle_readiness,
+        ('GET', '/status'): AdminPort.handle_status,
         ('GET', '/explain'): AdminPort.explain,
         ('POST', '/drain'): AdminPort.drain,
     }
--- a/deckdrum/proxy/cancelling.py
+++ b/deckdrum/proxy/cancelling.py
@@ -7,8 +7,12 @@
     CancelChannel,
 )
 from deckdrum.fleet.peers import ProxyPeers
-from deckdrum.proxy.keeping import Keeping
-from deckdrum.proxy.registry import CallerRegistry, read_tag, tag_proxy
+from deckdrum.proxy.keeper_manager import KeeperManager
+from deckdrum.proxy.registry import (
+    CallerRegistry,
+    compute_proxy_tag,
+    get_proxy_tag,
+)
 from deckdrum.utils.metrics import Metrics
 
 
@@ -32,13 +36,13 @@
     def __init__(
         self,
         membership: Membership,
-        keeping: Keeping,
+        keeper_manager: KeeperManager,
         peers: ProxyPeers,
         registry: CallerRegistry,
         metrics: Metrics,
     ) -> None:
         self._membership = membership
-        self._keeping = keeping
+        self._keeping = keeper_manager
         self._peers = peers
         self._registry = registry
         self._metrics = metrics
@@ -49,16 +53,16 @@
         The balancer may bring a cancel request to any proxy; the key tells
         which proxy made it.
         """
-        tag = read_tag(key)
-        if tag == tag_proxy(self._membership.own.name):
-            await self.cancel_own(key)
+        tag = get_proxy_tag(key)
+        if tag == compute_proxy_tag(self._membership.own.name):
+            await self.cancel_own_caller(key)
             return
         for instance in self._membership.proxies.values():
-            if tag_proxy(instance.name) == tag:
+            if compute_proxy_tag(instance.name) == tag:
                 message = CancelCaller(key.process, key.secret)
                 await self._peers.ask(instance.endpoint, message)
 
-    async def cancel_own(self, key: CancelKey) -> None:
+    async def cancel_own_caller(self, key: CancelKey) -> None:
         """Cancel the request of one of this proxy's callers."""
         caller = self._registry.find(key)
         if caller is None:
--- a/deckdrum/proxy/spreading.py
+++ b/deckdrum/proxy/configuration_fetching.py
@@ -13,12 +13,12 @@
 from deckdrum.utils import Address
 
 #: How often a peer is asked while the platform is out, in seconds.
-ASK_INTERVAL: Final = 1.0
+FETCH_INTERVAL_S: Final = 1.0
 #: Peers asked in one round.
-_ASKED: Final = 2
+_PEERS_PER_ROUND: Final = 2
 
 
-class Spreader:
+class PeerConfigurationFetcher:
     """Asks peers for what the platform cannot tell.
 
     Parameters
@@ -43,21 +43,21 @@
         self._first: tuple[Address, ...] = ()
         self._turn = 0
 
-    def suggest(self, addresses: tuple[Address, ...]) -> None:
+    def use_seed_peers(self, addresses: tuple[Address, ...]) -> None:
         """Name peers to ask before the platform has given a list."""
         self._first = addresses
 
     async def run(self) -> None:
         """Ask peers for ever, while the platform is out."""
         while True:
-            await curio.sleep(ASK_INTERVAL)
+            await curio.sleep(FETCH_INTERVAL_S)
             if not self._view.is_reachable:
-                await self.ask_round()
+                await self.fetch_from_peers()
 
-    async def ask_round(self) -> None:
+    async def fetch_from_peers(self) -> None:
         """Ask a few peers, in turn."""
         addresses = self._list_addresses()
-        for _ in range(min(_ASKED, len(addresses))):
+        for _ in range(min(_PEERS_PER_ROUND, len(addresses))):
             self._turn += 1
             address = addresses[self._turn % len(addresses)]
             answer = await self._peers.ask_configuration(
--- a/deckdrum/proxy/core.py
+++ b/deckdrum/proxy/core.py
@@ -11,15 +11,15 @@
 from deckdrum.databases import Credentials, Database, PostgresDatabase
 from deckdrum.fleet.membership import Membership
 from deckdrum.fleet.peers import ProxyPeers
-from deckdrum.keepers.core import Surroundings
+from deckdrum.keepers.core import KeeperContext
 from deckdrum.outcomes import Refusal
 from deckdrum.proxy.admin import AdminPort
 from deckdrum.proxy.cancelling import Canceller
-from deckdrum.proxy.keeping import Keeping
+from deckdrum.proxy.configuration_fetching import PeerConfigurationFetcher
+from deckdrum.proxy.keeper_manager import KeeperManager
 from deckdrum.proxy.opening import ChannelOpener
+from deckdrum.proxy.peer_server import PeerServer
 from deckdrum.proxy.registry import CallerRegistry
-from deckdrum.proxy.spreading import Spreader
-from deckdrum.proxy.visitors import PeerDoor
 from deckdrum.sessions import KeyRing
 from deckdrum.settings import ProxySettings
 from deckdrum.statements import Classifier
@@ -29,7 +29,7 @@
 from deckdrum.utils.metrics import Metrics
 
 #: How often membership and the kept services are looked at, in seconds.
-_ROUND: Final = 0.25
+_MAINTENANCE_INTERVAL_S: Final = 0.25
 _DRAIN_POLL: Final = 0.05
 
 
@@ -55,7 +55,7 @@
         self.settings = settings
         self.journal = journal
         self.metrics = Metrics()
-        self.ring = KeyRing(settings.read_keys())
+        self.ring = KeyRing(settings.list_session_keys())
         self.limits = CallerLimits(
             settings.login_limit,
             settings.max_message_bytes,
@@ -67,27 +67,31 @@
         self.membership = Membership(self._describe_self())
         self.peers = ProxyPeers(self.membership, self.randomness)
         self.registry = CallerRegistry(settings.name, self.randomness)
-        self.keeping = Keeping(self._describe_surroundings(), self.membership)
-        self.spreader = Spreader(self.view, self.membership, self.peers)
-        self.spreader.suggest(
+        self.keeper_manager = KeeperManager(
+            self._describe_surroundings(), self.membership
+        )
+        self.configuration_fetcher = PeerConfigurationFetcher(
+            self.view, self.membership, self.peers
+        )
+        self.configuration_fetcher.use_seed_peers(
             tuple(Address.parse(peer) for peer in settings.peers),
         )
         self.canceller = Canceller(
             self.membership,
-            self.keeping,
+            self.keeper_manager,
             self.peers,
             self.registry,
             self.metrics,
         )
         self._opener = ChannelOpener(
             self.membership,
-            self.keeping,
+            self.keeper_manager,
             self.peers,
             self.metrics,
         )
-        self._door = PeerDoor(self)
+        self._peer_server = PeerServer(self)
         self.admin = AdminPort(self)
-        self._stop_wanted = curio.Event()
+        self._stop_requested = curio.Event()
         self._callers = Listener(
             Address.parse(settings.listen),
             self._serve_caller,
@@ -121,17 +125,21 @@
 
     async def start(self) -> None:
         """Start to serve."""
-        await self._door.start()
+        await self._peer_server.start()
         await self.admin.start()
-        self.membership.own = self._describe_self(self._door.address)
-        for run in (self.view.run, self.spreader.run, self._look_after):
+        self.membership.own = self._describe_self(self._peer_server.address)
+        for run in (
+            self.view.run,
+            self.configuration_fetcher.run,
+            self._look_after,
+        ):
             self._tasks.append(await curio.spawn(run, daemon=True))
         await self._callers.start()
         self.journal.record('proxy.started', proxy=self.name)
 
     async def request_stop(self) -> None:
         """Ask for a planned stop; `run` carries it out."""
-        await self._stop_wanted.set()
+        await self._stop_requested.set()
 
     async def run(self) -> bool:
         """Serve until a stop is asked for, then drain and end.
@@ -142,7 +150,7 @@
             Whether everything ended within the drain limit.
         """
         await self.start()
-        await self._stop_wanted.wait()
+        await self._stop_requested.wait()
         is_done = await self.drain()
         await self.close()
         return is_done
@@ -156,15 +164,17 @@
             Whether everything ended within ``drain_limit`` seconds.
         """
         self.membership.is_leaving = True
-        self.keeping.start_draining()
+        self.keeper_manager.start_draining()
         self.journal.record('proxy.draining', proxy=self.name)
         await self._callers.stop_accepting()
         is_done = False
         async with curio.ignore_after(self.settings.drain_limit):
             while not is_done:
                 for caller in self.registry.callers:
-                    await caller.say_goodbye()
-                is_done = not self.registry.callers and not self.keeping.pinned
+                    await caller.close_if_idle()
+                is_done = (
+                    not self.registry.callers and not self.keeper_manager.pinned
+                )
                 await curio.sleep(_DRAIN_POLL)
         self.journal.record('proxy.drained', proxy=self.name, complete=is_done)
         return is_done
@@ -174,9 +184,9 @@
         for task in self._tasks:
             await task.cancel()
         await self._callers.close()
-        await self._door.close()
+        await self._peer_server.close()
         await self.admin.close()
-        await self.keeping.close()
+        await self.keeper_manager.close()
         await self.peers.close()
         self.journal.record('proxy.stopped', proxy=self.name)
 
@@ -237,11 +247,11 @@
             self.membership.adopt(self.view.instances)
             document = self.document
             if document is not None:
-                self.classifier = self._fit_classifier(document)
-                await self.keeping.look_after(document)
-            await curio.sleep(_ROUND)
+                self.classifier = self._find_classifier(document)
+                await self.keeper_manager.look_after(document)
+            await curio.sleep(_MAINTENANCE_INTERVAL_S)
 
-    def _fit_classifier(self, document: Document) -> Classifier:
+    def _find_classifier(self, document: Document) -> Classifier:
         names = frozenset(
             name
             for service in document.services
@@ -270,8 +280,8 @@
             admin=settings.admin_listen,
         )
 
-    def _describe_surroundings(self) -> Surroundings:
-        return Surroundings(
+    def _describe_surroundings(self) -> KeeperContext:
+        return KeeperContext(
             self.settings.name,
             self.settings.data_centre,
             self.view,
--- a/deckdrum/proxy/keeping.py
+++ b/deckdrum/proxy/keeper_manager.py
@@ -12,16 +12,16 @@
     BatchRefused,
     OpenChannel,
 )
-from deckdrum.keepers.core import Keeper, Surroundings
+from deckdrum.keepers.core import Keeper, KeeperContext
 from deckdrum.outcomes import Code, refuse
 
 #: Proxies that watch each service: its keeper and one standby.
-_WATCHING: Final = 2
+_PROXIES_PER_SERVICE: Final = 2
 #: How long an unneeded keeper stays, in seconds.
-_LINGER: Final = 10.0
+_UNUSED_KEEPER_LIFETIME_S: Final = 10.0
 
 
-class Keeping:
+class KeeperManager:
     """Starts, serves and ends the keepers of one proxy.
 
     Parameters
@@ -32,11 +32,11 @@
         Who is in the fleet.
     """
 
-    def __init__(self, around: Surroundings, membership: Membership) -> None:
+    def __init__(self, around: KeeperContext, membership: Membership) -> None:
         self.keepers: dict[str, Keeper] = {}
         self._around = around
         self._membership = membership
-        self._needed_at: dict[str, float] = {}
+        self._last_needed_at: dict[str, float] = {}
         self._retired: list[Keeper] = []
         self._starting = curio.Lock()
 
@@ -61,12 +61,12 @@
         """Start the keepers that this proxy should run; end the others."""
         now = await curio.clock()
         for service in document.services:
-            if self._should_watch(service.name):
+            if self._should_run_keeper(service.name):
                 await self._ensure(service, document, now)
         for name, keeper in list(self.keepers.items()):
             keeper.router.leaving = self._membership.leaving_databases
-            keeper.be_standby(not self._is_first(name))
-            await self._review(name, keeper, document, now)
+            keeper.set_standby(not self._is_preferred_keeper(name))
+            await self._reconfigure_or_retire(name, keeper, document, now)
 
     async def serve(self, channel: Channel, opened: OpenChannel) -> None:
         """Serve a channel from its opening to its end."""
@@ -96,7 +96,7 @@
         safe even if another proxy keeps the service too.
         """
         now = await curio.clock()
-        self._needed_at[opened.service] = now
+        self._last_needed_at[opened.service] = now
         keeper = self.keepers.get(opened.service)
         if keeper is not None:
             return keeper
@@ -113,7 +113,7 @@
         now: float,
     ) -> Keeper:
         async with self._starting:
-            self._needed_at[service.name] = now
+            self._last_needed_at[service.name] = now
             keeper = self.keepers.get(service.name)
             if keeper is None:
                 keeper = Keeper(service, document, self._around)
@@ -122,7 +122,7 @@
                 await keeper.start()
         return keeper
 
-    async def _review(
+    async def _reconfigure_or_retire(
         self,
         name: str,
         keeper: Keeper,
@@ -130,12 +130,14 @@
         now: float,
     ) -> None:
         service = document.find_service(name)
-        is_needed = now - self._needed_at.get(name, 0) < _LINGER
+        is_needed = (
+            now - self._last_needed_at.get(name, 0) < _UNUSED_KEEPER_LIFETIME_S
+        )
         if service is None or not (is_needed or keeper.sessions):
             await self._retire(name, keeper)
         elif not await keeper.reconfigure(service, document):
             await self._retire(name, keeper)
-        await self._bury()
+        await self._close_retired()
 
     async def _retire(self, name: str, keeper: Keeper) -> None:
         """Take a keeper out of use; its open transactions go on."""
@@ -143,7 +145,7 @@
         keeper.is_draining = True
         self._retired.append(keeper)
 
-    async def _bury(self) -> None:
+    async def _close_retired(self) -> None:
         for keeper in list(self._retired):
             if not keeper.pinned:
                 self._retired.remove(keeper)
@@ -154,13 +156,13 @@
         refusal = refuse(Code.NO_KEEPER, 'this proxy keeps no such service')
         await channel.send(BatchRefused(refusal.code.value, refusal.text))
 
-    def _is_first(self, service: str) -> bool:
+    def _is_preferred_keeper(self, service: str) -> bool:
         """Tell whether this proxy is the service's keeper by its list."""
         ranked = rank_keepers(service, self._membership.proxies)
         return ranked[0] == self._membership.own.name
 
-    def _should_watch(self, service: str) -> bool:
+    def _should_run_keeper(self, service: str) -> bool:
         proxies = self._membership.proxies
-        ranked = rank_keepers(service, proxies)[:_WATCHING]
+        ranked = rank_keepers(service, proxies)[:_PROXIES_PER_SERVICE]
         is_leaving = self._membership.is_leaving
         return self._membership.own.name in ranked and not is_leaving
--- a/deckdrum/proxy/opening.py
+++ b/deckdrum/proxy/opening.py
@@ -14,12 +14,12 @@
 )
 from deckdrum.fleet.peers import ProxyPeers
 from deckdrum.outcomes import Code, Refusal, refuse
-from deckdrum.proxy.keeping import Keeping
+from deckdrum.proxy.keeper_manager import KeeperManager
 from deckdrum.store import Instance
 from deckdrum.utils.metrics import Metrics
 
 #: Keepers tried before a request is refused.
-_CANDIDATES: Final = 4
+_MAX_CANDIDATES: Final = 4
 
 
 class ChannelOpener:
@@ -40,17 +40,17 @@
     def __init__(
         self,
         membership: Membership,
-        keeping: Keeping,
+        keeper_manager: KeeperManager,
         peers: ProxyPeers,
         metrics: Metrics,
     ) -> None:
         self._membership = membership
-        self._keeping = keeping
+        self._keeping = keeper_manager
         self._peers = peers
         self._metrics = metrics
         self._numbers = itertools.count(1)
         #: Heartbeats under way, by keeper.
-        self._beats: dict[str, Any] = {}
+        self._heartbeat_tasks: dict[str, Any] = {}
 
     async def open(self, service: str, group: str) -> OpenedChannel | Refusal:
         """Open a channel; nothing of a request has been sent yet.
@@ -65,7 +65,7 @@
         number = f'{own}-{next(self._numbers)}'
         opening = OpenChannel(number, service, group)
         candidates = self._membership.list_keepers(service, now)
-        for instance in candidates[:_CANDIDATES]:
+        for instance in candidates[:_MAX_CANDIDATES]:
             if instance.name == own:
                 return await self._open_local(opening)
             opened = await self._open_remote(instance, opening)
@@ -92,11 +92,11 @@
         """
         if keeper == self._membership.own.name:
             return True
-        beat = self._beats.get(keeper)
+        beat = self._heartbeat_tasks.get(keeper)
         if beat is None or beat.terminated:
             # One heartbeat serves every caller that waits for this keeper.
             beat = await curio.spawn(self._send_heartbeat, keeper, daemon=True)
-            self._beats[keeper] = beat
+            self._heartbeat_tasks[keeper] = beat
         await beat.wait()
         return bool(beat.result)
 
--- a/deckdrum/proxy/visitors.py
+++ b/deckdrum/proxy/peer_server.py
@@ -7,7 +7,7 @@
 import curio
 
 from deckdrum.callers.host import CancelKey
-from deckdrum.databases.watch import PROBE_LIMIT, Watcher
+from deckdrum.databases.watch import STATE_PROBE_TIMEOUT_S, Watcher
 from deckdrum.fleet.base import Message
 from deckdrum.fleet.channels import StreamChannel
 from deckdrum.fleet.messages import (
@@ -21,17 +21,17 @@
     OpenChannel,
     ProbeAnswer,
 )
-from deckdrum.keepers.core import FIT_LIMIT
+from deckdrum.keepers.core import MAJORITY_LOST_AFTER_S
 from deckdrum.utils import Address, Listener, Stream
 
 if TYPE_CHECKING:
     from deckdrum.proxy.core import Proxy
 
 #: Age up to which a watcher's last answer serves a peer, in seconds.
-_FRESH: Final = 0.3
+_MAX_SAMPLE_AGE_S: Final = 0.3
 
 
-class PeerDoor:
+class PeerServer:
     """Answers other proxies.
 
     Parameters
@@ -67,10 +67,12 @@
         no majority: its word must not keep the others from a promotion.
         """
         reached = await self._probe(question.service, question.database)
-        keeper = self._proxy.keeping.keepers.get(question.service)
+        keeper = self._proxy.keeper_manager.keepers.get(question.service)
         if keeper is not None and reached:
             now = await curio.clock()
-            reached = keeper.watch.sees_majority(now, FIT_LIMIT)
+            reached = keeper.watch.can_reach_majority(
+                now, MAJORITY_LOST_AFTER_S
+            )
         return ProbeAnswer(reached)
 
     async def answer_configuration(self, question: AskConfiguration) -> Message:
@@ -91,13 +93,13 @@
 
     async def cancel_channel(self, message: CancelChannel) -> Message:
         """Cancel what runs on a channel."""
-        await self._proxy.keeping.cancel(message.channel)
+        await self._proxy.keeper_manager.cancel(message.channel)
         return message
 
     async def cancel_caller(self, message: CancelCaller) -> Message:
         """Cancel the request of one of this proxy's callers."""
         key = CancelKey(message.process, message.secret)
-        await self._proxy.canceller.cancel_own(key)
+        await self._proxy.canceller.cancel_own_caller(key)
         return message
 
     async def _serve(self, stream: Stream) -> None:
@@ -111,7 +113,7 @@
         while True:
             message = await channel.receive()
             if isinstance(message, OpenChannel):
-                await self._proxy.keeping.serve(channel, message)
+                await self._proxy.keeper_manager.serve(channel, message)
                 return
             answer = _ANSWERS.get(type(message))
             if answer is None:
@@ -122,13 +124,13 @@
         watcher = self._find_watcher(service, name)
         if watcher is not None and watcher.sample is not None:
             now = await curio.clock()
-            if now - watcher.sample.started_at <= _FRESH:
+            if now - watcher.sample.started_at <= _MAX_SAMPLE_AGE_S:
                 return True
         database = self._proxy.find_database(service, name)
         if database is None:
             return False
         visitor = Watcher(database)
-        async with curio.ignore_after(PROBE_LIMIT):
+        async with curio.ignore_after(STATE_PROBE_TIMEOUT_S):
             try:
                 return await visitor.probe()
             finally:
@@ -136,16 +138,16 @@
         return False
 
     def _find_watcher(self, service: str, name: str) -> Watcher | None:
-        keeper = self._proxy.keeping.keepers.get(service)
+        keeper = self._proxy.keeper_manager.keepers.get(service)
         return None if keeper is None else keeper.watch.watchers.get(name)
 
 
 _ANSWERS: Final[Mapping[Any, Any]] = MappingProxyType(
     {
-        AskProbe: PeerDoor.answer_probe,
-        Heartbeat: PeerDoor.answer_heartbeat,
-        AskConfiguration: PeerDoor.answer_configuration,
-        CancelChannel: PeerDoor.cancel_channel,
-        CancelCaller: PeerDoor.cancel_caller,
+        AskProbe: PeerServer.answer_probe,
+        Heartbeat: PeerServer.answer_heartbeat,
+        AskConfiguration: PeerServer.answer_configuration,
+        CancelChannel: PeerServer.cancel_channel,
+        CancelCaller: PeerServer.cancel_caller,
     }
 )
--- a/deckdrum/proxy/registry.py
+++ b/deckdrum/proxy/registry.py
@@ -16,21 +16,21 @@
 _CALLER_MASK: Final = 0xFFFF
 
 
-def tag_proxy(name: str) -> int:
+def compute_proxy_tag(name: str) -> int:
     """Return the tag by which other proxies find this one's callers.
 
     Examples
     --------
-    >>> tag_proxy('p1') == tag_proxy('p1')
+    >>> compute_proxy_tag('p1') == compute_proxy_tag('p1')
     True
-    >>> 0 <= tag_proxy('p2') <= 0x7FFF
+    >>> 0 <= compute_proxy_tag('p2') <= 0x7FFF
     True
     """
     digest = hashlib.blake2b(name.encode(), digest_size=2).digest()
     return int.from_bytes(digest, 'big') & _TAG_MASK
 
 
-def read_tag(key: CancelKey) -> int:
+def get_proxy_tag(key: CancelKey) -> int:
     """Return the tag of the proxy that made a key."""
     return key.process >> _CALLER_BITS
 
@@ -47,7 +47,7 @@
     """
 
     def __init__(self, proxy: str, randomness: Random) -> None:
-        self._tag = tag_proxy(proxy)
+        self._tag = compute_proxy_tag(proxy)
         self._randomness = randomness
         self._numbers = itertools.count(1)
         # A dictionary keeps the order of arrival; a set would not.
--- a/deckdrum/serving/attempts.py
+++ b/deckdrum/serving/attempts.py
@@ -17,7 +17,7 @@
     RejectionCause,
     Rollback,
     SetValue,
-    Standing,
+    TransactionState,
 )
 from deckdrum.outcomes import Refusal
 from deckdrum.outcomes.errors import BrokenInvariantError
@@ -228,7 +228,7 @@
             await self.handle.release(lease, is_clean=False)
         return NoAnswer(self.was_sent, is_late, reason)
 
-    async def _release_lease(self, standing: Standing) -> None:
+    async def _release_lease(self, standing: TransactionState) -> None:
         lease = self.lease
         self.lease = None
         if lease is not None:
@@ -238,13 +238,13 @@
 async def release_link(
     handle: ServerHandle,
     lease: ServerLease,
-    standing: Standing,
+    standing: TransactionState,
 ) -> None:
     """Release a connection after a complete answer.
 
     A transaction that is still open is rolled back.
     """
-    is_clean = standing is Standing.IDLE or await _roll_back(lease.link)
+    is_clean = standing is TransactionState.IDLE or await _roll_back(lease.link)
     await handle.release(lease, is_clean)
 
 
--- a/deckdrum/serving/execution.py
+++ b/deckdrum/serving/execution.py
@@ -136,7 +136,7 @@
             )
         if not is_confirmed:
             self.runtime.counters.count('unvouched_changes')
-            self.runtime.journal.record_often(
+            self.runtime.journal.record_rate_limited(
                 'change.unvouched',
                 service=self.runtime.name,
                 term=term,
@@ -151,7 +151,7 @@
 
     def log_refusal(self, refusal: Refusal, dispatch: Dispatch) -> None:
         """Log the refusal of a request."""
-        self.runtime.journal.record_often(
+        self.runtime.journal.record_rate_limited(
             'request.refused',
             request=dispatch.request.id,
             service=self.runtime.name,
@@ -277,7 +277,7 @@
     ) -> None:
         """Log that a statement is sent to a draining server."""
         self.runtime.counters.count('leaving_servers_used')
-        self.runtime.journal.record_often(
+        self.runtime.journal.record_rate_limited(
             'server.used_while_leaving',
             request=dispatch.request.id,
             service=self.runtime.name,
@@ -344,7 +344,7 @@
         if not target.is_primary:
             self._record_replica_position(target.handle.id, outcome.position)
             return
-        if isinstance(outcome, Rejection) and not outcome.tells_position:
+        if isinstance(outcome, Rejection) and not outcome.reports_position:
             return
         self.runtime.record_position(outcome.position, attempt.started_at)
 
@@ -395,7 +395,7 @@
             if dispatch.is_repeatable and not self._budget.take():
                 return
             self.runtime.counters.count('answers_lost')
-            self.runtime.journal.record_often(
+            self.runtime.journal.record_rate_limited(
                 'answer.lost',
                 request=dispatch.request.id,
                 service=self.runtime.name,
@@ -443,7 +443,7 @@
         kind = 'read' if dispatch.is_read else 'change'
         self.runtime.counters.count_served(dispatch.state.database, kind, role)
         now = await curio.clock()
-        self.runtime.journal.record_often(
+        self.runtime.journal.record_rate_limited(
             'request.served',
             request=dispatch.request.id,
             database=dispatch.state.database,
--- a/deckdrum/serving/lags.py
+++ b/deckdrum/serving/lags.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from deckdrum.sessions import Position
-from deckdrum.sessions.position import NOWHERE
+from deckdrum.sessions.position import LOG_START
 
 #: How long a replica is excluded from reads that need a position it lacked;
 #: doubled while it stays behind.
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self._behind_until = float('-inf')
         self._backoff = MIN_LAG_BACKOFF_S
-        self._missing = NOWHERE
+        self._missing = LOG_START
 
     def is_behind(self, min_position: Position, now: float) -> bool:
         """Return whether the log recently lacked this or an older position."""
--- a/deckdrum/serving/proofs.py
+++ b/deckdrum/serving/proofs.py
@@ -18,7 +18,7 @@
 from deckdrum.store.records import GroupRecord
 from deckdrum.utils import Journal
 from deckdrum.utils.counters import Counters
-from deckdrum.utils.ranks import weigh
+from deckdrum.utils.ranks import compute_rendezvous_rank
 
 ProofQuery = Callable[[], Awaitable[object]]
 #: Number of nodes in a data centre from which one of them, the collector,
@@ -225,5 +225,5 @@
     ]
     if len(local_nodes) < MIN_NODES_FOR_COLLECTOR:
         return None
-    first = min(local_nodes, key=partial(weigh, service))
+    first = min(local_nodes, key=partial(compute_rendezvous_rank, service))
     return None if first == own.name else members.get(first)
--- a/deckdrum/serving/routing.py
+++ b/deckdrum/serving/routing.py
@@ -14,7 +14,7 @@
 from deckdrum.serving.service import ServiceRuntime
 from deckdrum.serving.state import SessionState
 from deckdrum.sessions import Position
-from deckdrum.sessions.position import NOWHERE
+from deckdrum.sessions.position import LOG_START
 
 #: Margin below the accepted age for the time until the read reaches the server.
 AGE_MARGIN_S: Final = 0.1
@@ -134,7 +134,7 @@
             return None
         if route.guarantee is ConsistencyGuarantee.READ_YOUR_WRITES:
             return max(min_position, state.floor)
-        return max(min_position, NOWHERE)
+        return max(min_position, LOG_START)
 
     async def _pick_replica(
         self,
--- a/deckdrum/serving/servers.py
+++ b/deckdrum/serving/servers.py
@@ -342,7 +342,7 @@
             self.status = reply
             return reply
         self.fault = f'{command}: {reply.cause}: {reply.text}'
-        if reply.position is not None and reply.tells_position:
+        if reply.position is not None and reply.reports_position:
             self.reported_position = ReportedPosition(reply.position, asked_at)
         return None
 
--- a/deckdrum/serving/service.py
+++ b/deckdrum/serving/service.py
@@ -32,7 +32,7 @@
 from deckdrum.serving.samples import SAMPLE_TIMEOUT_S, PrimarySampler
 from deckdrum.serving.servers import ServerHandle
 from deckdrum.sessions import Position
-from deckdrum.sessions.position import NOWHERE
+from deckdrum.sessions.position import LOG_START
 from deckdrum.utils import Journal
 from deckdrum.utils.counters import Counters
 
@@ -149,7 +149,7 @@
         if not self.leadership_state.has_restarted(name):
             return True
         known = Position(self.history.term, self.history.latest[0])
-        return known > NOWHERE and end >= known
+        return known > LOG_START and end >= known
 
     async def adopt_servers(
         self,
@@ -258,7 +258,7 @@
         self.counters.count('status_questions')
         status = await handle.query_status()
         if status is None:
-            self.journal.record_often(
+            self.journal.record_rate_limited(
                 'server.unanswered',
                 service=self.name,
                 server=handle.id,
--- a/deckdrum/serving/session.py
+++ b/deckdrum/serving/session.py
@@ -19,7 +19,7 @@
     Rollback,
     Run,
     SetValue,
-    Standing,
+    TransactionState,
 )
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.serving.host import Outcome, SessionHost
@@ -58,7 +58,7 @@
         self.idle_since: float = 0
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> TransactionState:
         """Transaction status of the session."""
         return self.state.standing
 
@@ -96,7 +96,7 @@
             transaction.is_failed = True
             transaction.unreported_failure = reason
             await self._transactions.release_connection(
-                transaction, Standing.OPEN
+                transaction, TransactionState.OPEN
             )
 
     async def close(self) -> None:
@@ -105,7 +105,7 @@
         self.state.transaction = None
         if transaction is not None:
             await self._transactions.release_connection(
-                transaction, Standing.OPEN
+                transaction, TransactionState.OPEN
             )
 
     async def _set_value(self, request: Request) -> Outcome:
@@ -145,14 +145,16 @@
         if isinstance(access, Refusal):
             return access
         self.state.transaction = Transaction(operation.read_only, access.route)
-        return Answer(standing=Standing.OPEN)
+        return Answer(standing=TransactionState.OPEN)
 
     async def _rollback(self, request: Request) -> Outcome:
         transaction = self.state.transaction
         if transaction is None:
             return _refuse_out_of_order(request)
         self.state.transaction = None
-        await self._transactions.release_connection(transaction, Standing.OPEN)
+        await self._transactions.release_connection(
+            transaction, TransactionState.OPEN
+        )
         return Answer()
 
     async def _commit(self, request: Request) -> Outcome:
@@ -224,7 +226,7 @@
         return refuse(Code.TRANSACTION_LOST, reason)
 
     def _has_failed(self) -> bool:
-        return self.standing is Standing.FAILED
+        return self.standing is TransactionState.FAILED
 
     def _find_effect(self, request: Request) -> Effect | Refusal:
         operation = request.operation
--- a/deckdrum/serving/state.py
+++ b/deckdrum/serving/state.py
@@ -10,12 +10,12 @@
     Execute,
     Operation,
     Request,
-    Standing,
+    TransactionState,
 )
 from deckdrum.outcomes import Refusal
 from deckdrum.serving.servers import ServerHandle, ServerLease
 from deckdrum.sessions import Position
-from deckdrum.sessions.position import NOWHERE
+from deckdrum.sessions.position import LOG_START
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,7 +120,7 @@
     workspace: str = ''
     values: dict[str, str] = field(default_factory=dict)
     prepared: dict[str, PreparedStatement] = field(default_factory=dict)
-    floor: Position = NOWHERE
+    floor: Position = LOG_START
     transaction: Transaction | None = None
 
     def find_prepared(self, operation: Operation) -> PreparedStatement | None:
@@ -135,8 +135,12 @@
             self.floor = max(self.floor, answer.position)
 
     @property
-    def standing(self) -> Standing:
+    def standing(self) -> TransactionState:
         """Transaction status of the session."""
         if self.transaction is None:
-            return Standing.IDLE
-        return Standing.FAILED if self.transaction.is_failed else Standing.OPEN
+            return TransactionState.IDLE
+        return (
+            TransactionState.FAILED
+            if self.transaction.is_failed
+            else TransactionState.OPEN
+        )
--- a/deckdrum/serving/tests/test_leaving_servers.py
+++ b/deckdrum/serving/tests/test_leaving_servers.py
@@ -7,11 +7,11 @@
 import curio
 import pytest
 
-from deckdrum.testing.aims import DRAIN_TIME, GAP_AIM
+from deckdrum.testing.aims import DRAIN_TIME_S, WRITE_GAP_P99_S
 from deckdrum.testing.nodes import (
     BOUNDED,
     CURRENT,
-    OWN,
+    OWN_WRITES,
     Deployment,
     LineClient,
     play,
@@ -37,7 +37,11 @@
     seconds: float,
 ) -> list[str]:
     """Return the servers that run statements after the drain time."""
-    kinds = ((CURRENT, 'WRITE a 1'), (BOUNDED, 'READ a'), (OWN, 'READ a'))
+    kinds = (
+        (CURRENT, 'WRITE a 1'),
+        (BOUNDED, 'READ a'),
+        (OWN_WRITES, 'READ a'),
+    )
     callers = [
         (await deployment.connect(database, node), text)
         for node in range(len(deployment.nodes))
@@ -46,7 +50,7 @@
     async with curio.TaskGroup() as asking:
         for client, text in callers:
             await asking.spawn(_repeat_request, client, text, seconds)
-        await curio.sleep(DRAIN_TIME)
+        await curio.sleep(DRAIN_TIME_S)
         ran_before = len(deployment.group.ran)
     return [ran.server for ran in deployment.group.ran[ran_before:]]
 
@@ -81,7 +85,7 @@
         client = await deployment.connect(CURRENT)
         for server in deployment.group.servers.values():
             await server.drain()
-        await curio.sleep(DRAIN_TIME)
+        await curio.sleep(DRAIN_TIME_S)
         began = await curio.clock()
         refused = await client.ask('WRITE a 1')
         assert not refused.is_done
@@ -120,7 +124,7 @@
         for running in deployment.nodes:
             running.node.peers.answer = None
         await deployment.group.primary.drain()
-        await curio.sleep(DRAIN_TIME)
-        assert await client.write_until_done() < GAP_AIM
+        await curio.sleep(DRAIN_TIME_S)
+        assert await client.write_until_done() < WRITE_GAP_P99_S
 
     play(scenario)
--- a/deckdrum/serving/tests/test_statements.py
+++ b/deckdrum/serving/tests/test_statements.py
@@ -9,7 +9,7 @@
 from deckdrum.testing.nodes import (
     BOUNDED,
     CURRENT,
-    OWN,
+    OWN_WRITES,
     ZONES,
     Deployment,
     build_config,
@@ -22,7 +22,7 @@
 
 def test_write_is_read_back_from_a_replica() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await deployment.connect(OWN)
+        client = await deployment.connect(OWN_WRITES)
         written = await client.ask('WRITE a 1')
         assert written.is_done
         await curio.sleep(0.1)
@@ -36,7 +36,7 @@
 
 def test_own_change_is_read_at_the_primary_while_replicas_lag() -> None:
     async def scenario(deployment: Deployment) -> None:
-        client = await deployment.connect(OWN)
+        client = await deployment.connect(OWN_WRITES)
         await client.ask('WRITE a 1')
         found = await client.ask('READ a')
         assert found.rows == ['a-1']
@@ -63,7 +63,7 @@
         reader = await deployment.connect(BOUNDED, node=1)
         await reader.ask('READ a')
         for server in deployment.group.servers.values():
-            server.is_deaf = True
+            server.is_replication_blocked = True
         await writer.ask('WRITE a 1')
         await curio.sleep(1.6)
         found = await reader.ask('READ a')
@@ -150,8 +150,8 @@
 
 def test_prepared_names_of_two_callers_do_not_clash() -> None:
     async def scenario(deployment: Deployment) -> None:
-        first = await deployment.connect(OWN)
-        second = await deployment.connect(OWN)
+        first = await deployment.connect(OWN_WRITES)
+        second = await deployment.connect(OWN_WRITES)
         await first.ask('PREPARE s1 WRITE q1')
         await second.ask('PREPARE s1 READ q2')
         assert (await first.ask('EXECUTE s1 a x')).is_done
@@ -316,7 +316,7 @@
         clients = [
             await deployment.connect(database, node=number)
             for number in range(5)
-            for database in (CURRENT, BOUNDED, OWN)
+            for database in (CURRENT, BOUNDED, OWN_WRITES)
         ]
         for client in clients:
             assert (await client.ask('WRITE a 1')).is_done
--- a/deckdrum/serving/transactions.py
+++ b/deckdrum/serving/transactions.py
@@ -13,7 +13,7 @@
     Rejection,
     Request,
     SetValue,
-    Standing,
+    TransactionState,
 )
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.serving.attempts import prepare_link, release_link, run_on_link
@@ -67,7 +67,7 @@
     async def fail(
         self,
         reason: str,
-        standing: Standing = Standing.OPEN,
+        standing: TransactionState = TransactionState.OPEN,
         code: Code = Code.TRANSACTION_LOST,
     ) -> Outcome:
         """Mark the transaction as failed and roll it back on its server."""
@@ -80,7 +80,7 @@
     async def release_connection(
         self,
         transaction: Transaction,
-        standing: Standing,
+        standing: TransactionState,
     ) -> None:
         """Release the transaction's connection and roll back if it is open."""
         pin = transaction.pin
@@ -245,7 +245,7 @@
         is_not_run = rejection.cause.is_not_run
         if is_commit and transaction is not None:
             may_last = transaction.has_written and not is_not_run
-            if may_last and rejection.standing is not Standing.IDLE:
+            if may_last and rejection.standing is not TransactionState.IDLE:
                 may_last = False
             await self.release_connection(transaction, rejection.standing)
             code = Code.CONNECTION_LOST if may_last else Code.TRANSACTION_LOST
--- a/deckdrum/sessions/position.py
+++ b/deckdrum/sessions/position.py
@@ -31,4 +31,4 @@
 
 
 #: The place before every log; each database has reached it.
-NOWHERE: Final = Position(0, 0)
+LOG_START: Final = Position(0, 0)
--- a/deckdrum/sessions/token.py
+++ b/deckdrum/sessions/token.py
@@ -15,7 +15,7 @@
 
 import msgpack
 
-from deckdrum.sessions.position import NOWHERE, Position
+from deckdrum.sessions.position import LOG_START, Position
 
 _VERSION: Final = 1
 _SIGNATURE_BYTES: Final = 16
@@ -102,7 +102,7 @@
 
     def floor(self, group: str) -> Position:
         """Return the position that the next read of `group` must include."""
-        return self.positions.get(group, NOWHERE)
+        return self.positions.get(group, LOG_START)
 
     def advance(self, group: str, seen: Position) -> bool:
         """Note that the session has seen `seen`.
--- a/deckdrum/settings/core.py
+++ b/deckdrum/settings/core.py
@@ -84,7 +84,7 @@
                 )
         return keys
 
-    def read_keys(self) -> list[bytes]:
+    def list_session_keys(self) -> list[bytes]:
         """Return the session keys as bytes."""
         return [key.get_secret_value().encode() for key in self.session_keys]
 
--- a/deckdrum/soak/callers.py
+++ b/deckdrum/soak/callers.py
@@ -8,11 +8,17 @@
 
 from deckdrum.soak.processes import NodeProcess
 from deckdrum.soak.records import Attempt, Fate
-from deckdrum.testing.nodes import BOUNDED, CURRENT, OWN, LineClient, Reply
+from deckdrum.testing.nodes import (
+    BOUNDED,
+    CURRENT,
+    OWN_WRITES,
+    LineClient,
+    Reply,
+)
 
-_DATABASES: Final = (CURRENT, BOUNDED, OWN)
+_DATABASES: Final = (CURRENT, BOUNDED, OWN_WRITES)
 #: Errors that promise that nothing of the attempt is kept.
-_PROMISES: Final = frozenset(
+_NOT_COMMITTED_CODES: Final = frozenset(
     ('BUSY', 'ABORTED', 'LAGGING', 'READONLY', 'MISROUTED', 'TOOMANY'),
 )
 #: Pause after an attempt without success, and longest between two, in s.
@@ -50,7 +56,7 @@
     ) -> None:
         self.attempts: list[Attempt] = []
         #: Names of the nodes that have served it, with the latest time.
-        self.served_at: dict[str, float] = {}
+        self.last_served_at: dict[str, float] = {}
         self.is_over = False
         self._name = name
         self._nodes = nodes
@@ -81,7 +87,7 @@
                 attempt = await self._run_attempt(client, session, database)
                 if self.is_over or attempt.fate is not Fate.DONE:
                     return
-                self.served_at[node.name] = attempt.ended_at
+                self.last_served_at[node.name] = attempt.ended_at
                 pause = self._randomness.random() * _LONGEST_PAUSE
                 await curio.sleep(pause)
         finally:
@@ -159,4 +165,4 @@
     if reply.is_done:
         return Fate.DONE
     word = reply.text.partition(' ')[0]
-    return Fate.NOT_KEPT if word in _PROMISES else Fate.UNKNOWN
+    return Fate.NOT_KEPT if word in _NOT_COMMITTED_CODES else Fate.UNKNOWN
--- a/deckdrum/soak/faults.py
+++ b/deckdrum/soak/faults.py
@@ -7,14 +7,14 @@
 import curio
 
 from deckdrum.soak.links import LinkState
-from deckdrum.soak.world import World
+from deckdrum.soak.world import SoakEnvironment
 from deckdrum.standins.users import StoreFault
 from deckdrum.testing.nodes import build_config, build_route
 
 #: Shortest and longest time that a fault lasts, in seconds: around the limits
 #: of the product (proof 1.2 s, take-over 5 s).
-SHORTEST: Final = 0.2
-LONGEST: Final = 4.0
+MIN_FAULT_DURATION_S: Final = 0.2
+MAX_FAULT_DURATION_S: Final = 4.0
 #: Part of that time after which a stopped node, or all nodes, start again.
 _AWAY_PART: Final = 1 / 4
 #: Most answers that a database loses in a row.
@@ -37,14 +37,14 @@
     """A kind of fault."""
 
     @abstractmethod
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike, last for some seconds and mend; tell what was struck."""
 
 
 class FrozenNode(Fault):
     """A node's process stands still."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike and mend."""
         node = world.pick_node()
         node.send_signal(signal.SIGSTOP)
@@ -56,7 +56,7 @@
 class KilledNode(Fault):
     """A node's process is killed, and started again."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike and mend."""
         node = world.pick_node()
         node.kill()
@@ -68,7 +68,7 @@
 class StoppedNode(Fault):
     """A node gets one signal, is then asked to stop, and started again."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike and mend."""
         node = world.pick_node()
         number = world.randomness.choice(_SIGNALS)
@@ -82,20 +82,20 @@
         return node.name
 
 
-class ReloadedNodes(Fault):
+class AllNodesReloaded(Fault):
     """Every node is told to read its settings again."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike."""
         for node in world.nodes:
             node.reload()
         return 'all'
 
 
-class AllKilled(Fault):
+class AllNodesKilled(Fault):
     """Every node is killed at once, and all start again."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike and mend."""
         for node in world.nodes:
             node.kill()
@@ -105,10 +105,10 @@
         return 'all'
 
 
-class TroubledLink(Fault):
+class LinkFault(Fault):
     """The way to a database is slow, cut one way, silent or reset."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike and mend."""
         name = world.randomness.choice(sorted(world.links))
         link = world.links[name]
@@ -122,29 +122,29 @@
         return f'{name} {state}'
 
 
-class TroubledDatabase(Fault):
+class DatabaseFault(Fault):
     """A database is dark, crashes, is full, or receives nothing."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike and mend."""
-        server = world.take_server(lambda each: each.is_running)
+        server = world.reserve_server(lambda each: each.is_running)
         if server is None:
             return 'none free'
         kind = world.randomness.choice(('dark', 'crash', 'full', 'deaf'))
         server.is_dark = kind == 'dark'
-        server.is_deaf = kind == 'deaf'
+        server.is_replication_blocked = kind == 'deaf'
         server.load.is_full = kind == 'full'
         if kind == 'crash':
             await server.crash()
         await curio.sleep(lasting)
-        await world.bring_back(server)
+        await world.restore_server(server)
         return f'{server.name} {kind}'
 
 
-class LostAnswers(Fault):
+class DatabaseAnswersLost(Fault):
     """A database runs statements and their answers are lost."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike."""
         name = world.randomness.choice(sorted(world.group.servers))
         count = world.randomness.randint(1, _MOST_LOST)
@@ -152,10 +152,10 @@
         return name
 
 
-class TroubledStore(Fault):
+class StoreFailure(Fault):
     """The store is away for everybody, or turns one node away."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike and mend."""
         fault = world.randomness.choice(_STORE_FAULTS)
         if world.randomness.choice((True, False)):
@@ -170,19 +170,19 @@
         return f'all {fault}'
 
 
-class ForgottenHistory(Fault):
+class StoreHistoryCompacted(Fault):
     """The store forgets its history."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike."""
-        await world.store.forget_history()
+        await world.store.compact_history()
         return 'store'
 
 
 class ChangedConfiguration(Fault):
     """The operator adds a route."""
 
-    async def strike(self, world: World, lasting: float) -> str:
+    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
         """Strike."""
         world.version += world.randomness.randint(1, _LONGEST_STEP)
         config = build_config(world.version)
@@ -196,16 +196,16 @@
     FrozenNode(),
     KilledNode(),
     StoppedNode(),
-    ReloadedNodes(),
-    AllKilled(),
-    TroubledLink(),
-    TroubledLink(),
-    TroubledDatabase(),
-    TroubledDatabase(),
-    TroubledDatabase(),
-    LostAnswers(),
-    TroubledStore(),
-    TroubledStore(),
-    ForgottenHistory(),
+    AllNodesReloaded(),
+    AllNodesKilled(),
+    LinkFault(),
+    LinkFault(),
+    DatabaseFault(),
+    DatabaseFault(),
+    DatabaseFault(),
+    DatabaseAnswersLost(),
+    StoreFailure(),
+    StoreFailure(),
+    StoreHistoryCompacted(),
     ChangedConfiguration(),
 )
--- a/deckdrum/soak/links.py
+++ b/deckdrum/soak/links.py
@@ -8,7 +8,7 @@
 from deckdrum.utils import Address, Listener, Stream, dial
 
 #: Longest wait for the far end of a link, in seconds.
-_DIAL_LIMIT: Final = 1.0
+_DIAL_TIMEOUT_S: Final = 1.0
 #: Pause between two looks at a link that passes nothing on, in seconds.
 _POLL: Final = 0.02
 
@@ -60,7 +60,7 @@
 
     async def _serve(self, near: Stream) -> None:
         try:
-            far = await dial(self.target, _DIAL_LIMIT)
+            far = await dial(self.target, _DIAL_TIMEOUT_S)
         except ConnectionError:
             # The database does not run: the caller sees a closed connection.
             return
--- a/deckdrum/soak/processes.py
+++ b/deckdrum/soak/processes.py
@@ -23,9 +23,9 @@
 _NETWORKS: Final = 250
 _ENDING: Final = frozenset((signal.SIGTERM, signal.SIGKILL))
 #: Time between SIGTERM and the kill, in seconds.
-GRACE: Final = 4.0
+TERMINATION_GRACE_S: Final = 4.0
 #: Longest wait for the answer of a readiness probe, in seconds.
-_PROBE_LIMIT: Final = 0.5
+_READINESS_TIMEOUT_S: Final = 0.5
 #: Pause between two looks at a process that is to end, in seconds.
 _POLL: Final = 0.05
 _OK: Final = 200
@@ -58,7 +58,7 @@
         self.name = f'n{number}'
         self.host = f'127.2.{os.getpid() % _NETWORKS}.{number + 1}'
         #: Exit codes that no signal of the soak explains.
-        self.strange_exits: list[int] = []
+        self.unexpected_exits: list[int] = []
         self.log_path = folder / f'{self.name}.log'
         self._settings_path = folder / f'{self.name}.json'
         self._process: subprocess.Popen[bytes] | None = None
@@ -83,7 +83,7 @@
         """Start the process, unless it runs."""
         if self.is_running:
             return
-        self.note_exit()
+        self.record_exit()
         self._is_asked_to_end = False
         with self.log_path.open('ab') as log:
             self._process = subprocess.Popen(
@@ -93,13 +93,13 @@
                 stderr=subprocess.STDOUT,
             )
 
-    def note_exit(self) -> None:
+    def record_exit(self) -> None:
         """Note an end that nobody asked for, or one with an error."""
         if self._process is None or self.is_running:
             return
         code = self._process.returncode
         if code > 0 or not self._is_asked_to_end:
-            self.strange_exits.append(code)
+            self.unexpected_exits.append(code)
         self._process = None
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -119,23 +119,23 @@
 
         Until its program runs, a process has no say in what a signal does.
         """
-        if self.is_running and self.expects_reloads():
+        if self.is_running and self.has_sighup_disposition():
             self.send_signal(signal.SIGHUP)
 
-    def ignores_reloads(self) -> bool:
+    def ignores_sighup(self) -> bool:
         """Tell whether the process ignores SIGHUP."""
         return self._has_mask('SigIgn')
 
-    def expects_reloads(self) -> bool:
+    def has_sighup_disposition(self) -> bool:
         """Tell whether the process ignores or handles SIGHUP by now."""
-        return self.ignores_reloads() or self._has_mask('SigCgt')
+        return self.ignores_sighup() or self._has_mask('SigCgt')
 
     def wait(self) -> None:
         """Wait until the process has ended."""
         if self._process is not None:
             self._process.wait()
 
-    async def stop(self, limit: float = GRACE) -> None:
+    async def stop(self, limit: float = TERMINATION_GRACE_S) -> None:
         """Ask the process to stop, and kill it after `limit` seconds."""
         self.send_signal(signal.SIGTERM)
         async with curio.ignore_after(limit):
@@ -145,9 +145,13 @@
 
     async def is_ready(self) -> bool:
         """Tell whether the node calls for clients."""
-        client = HttpClient(Address(self.host, _READINESS_PORT), _PROBE_LIMIT)
+        client = HttpClient(
+            Address(self.host, _READINESS_PORT), _READINESS_TIMEOUT_S
+        )
         try:
-            reply = await client.call(Request('GET', '/-/ready'), _PROBE_LIMIT)
+            reply = await client.call(
+                Request('GET', '/-/ready'), _READINESS_TIMEOUT_S
+            )
         except ConnectionError:
             return False
         finally:
@@ -184,7 +188,7 @@
             },
             'portRange': _PEER_PORTS,
             'seeds': [],
-            'bounds': {'graceS': GRACE},
+            'bounds': {'graceS': TERMINATION_GRACE_S},
             'platform': {'address': str(store)},
             'cloudApi': {'address': str(duties)},
         }
--- a/deckdrum/soak/promises.py
+++ b/deckdrum/soak/promises.py
@@ -7,13 +7,13 @@
 from typing import Final
 
 from deckdrum.soak.records import Attempt, Fate
-from deckdrum.standins.users.records import Entry, Ran
+from deckdrum.standins.users.records import Entry, ExecutedStatement
 from deckdrum.testing.nodes import (
     BOUNDED,
     BOUNDED_AGE_MS,
     CURRENT,
-    OWN,
-    OWN_AGE_MS,
+    OWN_WRITES,
+    OWN_WRITES_AGE_MS,
 )
 
 #: Milliseconds in a second.
@@ -23,13 +23,13 @@
     {
         CURRENT: 0,
         BOUNDED: BOUNDED_AGE_MS / _MS,
-        OWN: OWN_AGE_MS / _MS,
+        OWN_WRITES: OWN_WRITES_AGE_MS / _MS,
     },
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Evidence:
+class SoakHistory:
     """What is compared.
 
     Attributes
@@ -44,15 +44,15 @@
 
     attempts: Sequence[Attempt]
     log: Sequence[Entry]
-    ran: Sequence[Ran]
+    ran: Sequence[ExecutedStatement]
 
-    def count_kept(self) -> Counter[str]:
+    def count_committed_writes(self) -> Counter[str]:
         """Return how often each write stands in the log, by its id."""
         return Counter(
             request_id for entry in self.log for request_id, _ in entry.writes
         )
 
-    def find_numbers(self) -> dict[str, int]:
+    def compute_log_positions(self) -> dict[str, int]:
         """Return the place in the log of each write, by its id."""
         return {
             request_id: place
@@ -61,9 +61,9 @@
         }
 
 
-def find_lost(evidence: Evidence) -> list[str]:
+def find_lost(evidence: SoakHistory) -> list[str]:
     """Return acknowledged writes that are missing."""
-    kept = evidence.count_kept()
+    kept = evidence.count_committed_writes()
     return [
         f'{write} was acknowledged and is missing'
         for attempt in evidence.attempts
@@ -73,18 +73,18 @@
     ]
 
 
-def find_doubled(evidence: Evidence) -> list[str]:
+def find_doubled(evidence: SoakHistory) -> list[str]:
     """Return writes that took effect twice."""
     return [
         f'{write} took effect {times} times'
-        for write, times in evidence.count_kept().items()
+        for write, times in evidence.count_committed_writes().items()
         if times > 1
     ]
 
 
-def find_untrue(evidence: Evidence) -> list[str]:
+def find_untrue(evidence: SoakHistory) -> list[str]:
     """Return writes that are kept although nothing was to be kept."""
-    kept = evidence.count_kept()
+    kept = evidence.count_committed_writes()
     return [
         f'{write} is kept, the caller was told: {attempt.fate}'
         for attempt in evidence.attempts
@@ -94,7 +94,7 @@
     ]
 
 
-def find_unasked(evidence: Evidence) -> list[str]:
+def find_unasked(evidence: SoakHistory) -> list[str]:
     """Return statements that ran and were not sent so."""
     sent = {
         request_id: text
@@ -108,7 +108,7 @@
     ]
 
 
-def find_mixed(evidence: Evidence) -> list[str]:
+def find_mixed(evidence: SoakHistory) -> list[str]:
     """Return statements that ran with another session's values."""
     sessions = {
         request_id: attempt.session
@@ -122,7 +122,7 @@
     ]
 
 
-def find_wrong_rows(evidence: Evidence) -> list[str]:
+def find_wrong_rows(evidence: SoakHistory) -> list[str]:
     """Return reads that were answered with rows of something else."""
     return [
         f'{attempt.session} read {thing} and got {row!r}'
@@ -132,9 +132,9 @@
     ]
 
 
-def find_stale(evidence: Evidence) -> list[str]:
+def find_stale(evidence: SoakHistory) -> list[str]:
     """Return reads that missed a change which they had to include."""
-    numbers = evidence.find_numbers()
+    numbers = evidence.compute_log_positions()
     acknowledged = sorted(
         (attempt.ended_at, numbers[write], attempt.session)
         for attempt in evidence.attempts
@@ -166,7 +166,7 @@
             for ended_at, number, session in acknowledged
             if ended_at < attempt.began_at - age
             or (
-                attempt.database == OWN
+                attempt.database == OWN_WRITES
                 and session == attempt.session
                 and ended_at < attempt.began_at
             )
@@ -175,7 +175,7 @@
     )
 
 
-_Check = Callable[[Evidence], list[str]]
+_Check = Callable[[SoakHistory], list[str]]
 CHECKS: Final[tuple[_Check, ...]] = (
     find_lost,
     find_doubled,
@@ -187,7 +187,7 @@
 )
 
 
-def find_broken(evidence: Evidence) -> list[str]:
+def find_violations(evidence: SoakHistory) -> list[str]:
     """Return every promise that was broken."""
     return [
         f'{check.__name__}: {each}'
--- a/deckdrum/soak/runner.py
+++ b/deckdrum/soak/runner.py
@@ -9,17 +9,21 @@
 import curio
 
 from deckdrum.soak.callers import Caller
-from deckdrum.soak.faults import FAULTS, LONGEST, SHORTEST
+from deckdrum.soak.faults import (
+    FAULTS,
+    MAX_FAULT_DURATION_S,
+    MIN_FAULT_DURATION_S,
+)
 from deckdrum.soak.links import LinkState
 from deckdrum.soak.processes import NodeProcess
-from deckdrum.soak.promises import Evidence, find_broken
+from deckdrum.soak.promises import SoakHistory, find_violations
 from deckdrum.soak.records import Attempt
-from deckdrum.soak.world import World
+from deckdrum.soak.world import SoakEnvironment
 from deckdrum.standins.users import StoreFault
 
 #: Longest wait until every node serves, at the start and after the faults, in
 #: seconds.  It only ends a soak that would not end by itself.
-SERVED_LIMIT: Final = 60.0
+RECOVERY_TIMEOUT_S: Final = 60.0
 #: Time for late answers and for replicas once the callers are done, in s.
 _SETTLE: Final = 1.0
 #: Pause between two looks whether every node serves, in seconds.
@@ -54,12 +58,12 @@
     """What a soak has found.
 
     `broken` lists promises that were broken; `faults` what was struck, in the
-    order in which it was mended; `fates` counts attempts by how they ended.
+    order in which it was mended; `outcome_counts` counts attempts by how they ended.
     """
 
     broken: list[str] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
-    fates: Counter[str] = field(default_factory=Counter)
+    outcome_counts: Counter[str] = field(default_factory=Counter)
 
 
 class Soak:
@@ -76,7 +80,7 @@
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self._plan = plan
         self._randomness = Random(plan.seed)
-        self._world = World(folder, Random(self._randomness.random()))
+        self._world = SoakEnvironment(folder, Random(self._randomness.random()))
         self._report = SoakReport()
         self._callers: list[Caller] = []
         self._are_faults_over = False
@@ -133,7 +137,9 @@
         """Strike with one fault after the other until they are over."""
         while not self._are_faults_over:
             fault = self._randomness.choice(FAULTS)
-            lasting = self._randomness.uniform(SHORTEST, LONGEST)
+            lasting = self._randomness.uniform(
+                MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S
+            )
             struck = await fault.strike(self._world, lasting)
             kind = type(fault).__name__
             self._report.faults.append(f'{kind} {struck} {lasting:.1f} s')
@@ -149,7 +155,7 @@
             node.start()
 
     async def _await_ready(self) -> None:
-        async with curio.timeout_after(SERVED_LIMIT):
+        async with curio.timeout_after(RECOVERY_TIMEOUT_S):
             for node in self._world.nodes:
                 while not await node.is_ready():
                     await curio.sleep(_POLL)
@@ -157,7 +163,7 @@
     async def _await_served(self) -> None:
         """Wait until every node serves again."""
         since = await curio.clock()
-        async with curio.ignore_after(SERVED_LIMIT):
+        async with curio.ignore_after(RECOVERY_TIMEOUT_S):
             while self._find_unserved(since):
                 await curio.sleep(_POLL)
         self._report.broken.extend(
@@ -170,7 +176,7 @@
             node.name
             for node in self._world.nodes
             if not any(
-                caller.served_at.get(node.name, 0) > since
+                caller.last_served_at.get(node.name, 0) > since
                 for caller in self._callers
             )
         ]
@@ -180,9 +186,9 @@
         attempts: list[Attempt] = []
         for caller in self._callers:
             attempts.extend(caller.attempts)
-        evidence = Evidence(attempts, group.primary.log, group.ran)
-        self._report.broken.extend(find_broken(evidence))
-        self._report.fates.update(attempt.fate for attempt in attempts)
+        evidence = SoakHistory(attempts, group.primary.log, group.ran)
+        self._report.broken.extend(find_violations(evidence))
+        self._report.outcome_counts.update(attempt.fate for attempt in attempts)
 
 
 async def run_soak(plan: SoakPlan, folder: Path) -> SoakReport:
@@ -192,10 +198,10 @@
 
 def find_node_faults(node: NodeProcess) -> list[str]:
     """Return ends of a node by itself, and errors that nobody caught."""
-    node.note_exit()
+    node.record_exit()
     found = [
         f'{node.name} ended by itself with {code}'
-        for code in node.strange_exits
+        for code in node.unexpected_exits
     ]
     text = node.log_path.read_text(errors='replace')
     if 'Traceback' in text:
--- a/deckdrum/soak/tests/test_processes.py
+++ b/deckdrum/soak/tests/test_processes.py
@@ -22,8 +22,8 @@
     node = build_node(tmp_path)
     node.start()
     node.kill()
-    node.note_exit()
-    assert not node.strange_exits
+    node.record_exit()
+    assert not node.unexpected_exits
 
 
 def test_crash_is_strange(tmp_path: Path) -> None:
@@ -31,21 +31,21 @@
     node.start()
     node.send_signal(signal.SIGABRT)
     node.wait()
-    node.note_exit()
-    assert node.strange_exits == [-signal.SIGABRT]
+    node.record_exit()
+    assert node.unexpected_exits == [-signal.SIGABRT]
 
 
 def test_reload_during_the_start_does_not_end_a_node(tmp_path: Path) -> None:
     node = build_node(tmp_path)
     node.start()
     # As early as the program has a say.
-    while node.is_running and not node.expects_reloads():
+    while node.is_running and not node.has_sighup_disposition():
         time.sleep(_POLL)
     for _ in range(3):
         node.reload()
         time.sleep(_POLL)
     is_running = node.is_running
     node.kill()
-    node.note_exit()
+    node.record_exit()
     assert is_running
-    assert not node.strange_exits
+    assert not node.unexpected_exits
--- a/deckdrum/soak/tests/test_promises.py
+++ b/deckdrum/soak/tests/test_promises.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from deckdrum.soak.promises import Evidence, find_broken
+from deckdrum.soak.promises import SoakHistory, find_violations
 from deckdrum.soak.records import Attempt, Fate
-from deckdrum.standins.users.records import Entry, Ran
-from deckdrum.testing.nodes import BOUNDED, CURRENT, OWN
+from deckdrum.standins.users.records import Entry, ExecutedStatement
+from deckdrum.testing.nodes import BOUNDED, CURRENT, OWN_WRITES
 
 COLOUR = (('colour', 's1'),)
 
@@ -42,15 +42,15 @@
 def judge(
     *attempts: Attempt,
     log: Sequence[Entry] = (),
-    ran: Sequence[Ran] = (),
+    ran: Sequence[ExecutedStatement] = (),
 ) -> list[str]:
     """Return the names of the checks that failed."""
-    found = find_broken(Evidence(attempts, log, ran))
+    found = find_violations(SoakHistory(attempts, log, ran))
     return [each.partition(':')[0] for each in found]
 
 
 def test_what_agrees_breaks_nothing() -> None:
-    ran = [Ran('i-1', 'w1', 'WRITE a x', 0, COLOUR)]
+    ran = [ExecutedStatement('i-1', 'w1', 'WRITE a x', 0, COLOUR)]
     attempts = (build_write(Fate.DONE), build_read(1))
     assert not judge(*attempts, log=build_log('w1'), ran=ran)
 
@@ -71,12 +71,12 @@
 
 @pytest.mark.parametrize('text', ['WRITE a y', 'READ a'])
 def test_changed_statement_is_found(text: str) -> None:
-    ran = [Ran('i-1', 'w1', text, 0, COLOUR)]
+    ran = [ExecutedStatement('i-1', 'w1', text, 0, COLOUR)]
     assert judge(build_write(Fate.UNKNOWN), ran=ran) == ['find_unasked']
 
 
 def test_values_of_another_session_are_found() -> None:
-    ran = [Ran('i-1', 'w1', 'WRITE a x', 0, (('colour', 's2'),))]
+    ran = [ExecutedStatement('i-1', 'w1', 'WRITE a x', 0, (('colour', 's2'),))]
     assert judge(build_write(Fate.UNKNOWN), ran=ran) == ['find_mixed']
 
 
@@ -92,9 +92,9 @@
         (CURRENT, 's2', 1.9, []),
         (BOUNDED, 's1', 3.4, []),
         (BOUNDED, 's2', 3.6, ['find_stale']),
-        (OWN, 's1', 2.1, ['find_stale']),
-        (OWN, 's2', 4.4, []),
-        (OWN, 's2', 4.6, ['find_stale']),
+        (OWN_WRITES, 's1', 2.1, ['find_stale']),
+        (OWN_WRITES, 's2', 4.4, []),
+        (OWN_WRITES, 's2', 4.6, ['find_stale']),
     ],
 )
 def test_read_that_misses_a_change_is_found(
--- a/deckdrum/soak/tests/test_soak.py
+++ b/deckdrum/soak/tests/test_soak.py
@@ -20,4 +20,4 @@
     report = curio.run(run_soak, plan, tmp_path)
     assert not report.broken
     assert report.faults
-    assert report.fates['done']
+    assert report.outcome_counts['done']
--- a/deckdrum/soak/world.py
+++ b/deckdrum/soak/world.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True)
-class World:
+class SoakEnvironment:
     """One deployment of a soak.
 
     Attributes
@@ -69,7 +69,7 @@
         """Return any node."""
         return self.randomness.choice(self.nodes)
 
-    def take_server(
+    def reserve_server(
         self,
         fits: Callable[[DatabaseServer], bool],
     ) -> DatabaseServer | None:
@@ -88,10 +88,10 @@
         self.struck.add(server.name)
         return server
 
-    async def bring_back(self, server: DatabaseServer) -> None:
+    async def restore_server(self, server: DatabaseServer) -> None:
         """Have a database that was struck take part again."""
         server.is_dark = False
-        server.is_deaf = False
+        server.is_replication_blocked = False
         server.load.is_full = False
         link = self.links[server.name]
         link.state = LinkState.OPEN
@@ -106,15 +106,15 @@
         link = FaultLink(server.address)
         await link.start()
         self.links[server.name] = link
-        server.listed_address = link.address
+        server.advertised_address = link.address
         await server.publish()
 
     async def _start_node(self, number: int) -> None:
         node = NodeProcess(
             number,
             ZONES[number % len(ZONES)],
-            await self.store.open_door(f'n{number}'),
-            self.group.calls_address,
+            await self.store.open_endpoint(f'n{number}'),
+            self.group.promotion_address,
             self.folder,
         )
         self.nodes.append(node)
--- a/deckdrum/standins/engine.py
+++ b/deckdrum/standins/engine.py
@@ -122,7 +122,7 @@
         self.writer.execute('COMMIT')
         self.applied += 1
 
-    def holds_prefix_of(self, other: 'Engine') -> bool:
+    def is_prefix_of(self, other: 'Engine') -> bool:
         """Tell whether this log is the beginning of `other`'s."""
         if self.received > other.received:
             return False
--- a/deckdrum/standins/replication.py
+++ b/deckdrum/standins/replication.py
@@ -16,9 +16,9 @@
 from deckdrum.utils import Address
 
 #: How often a stalled task looks whether its fault is over, in seconds.
-_FAULT_POLL: Final = 0.02
+_FAULT_POLL_INTERVAL_S: Final = 0.02
 #: Longest wait for the log to grow before faults are looked at, in seconds.
-_GROWTH_WAIT: Final = 0.5
+_LOG_GROWTH_TIMEOUT_S: Final = 0.5
 
 
 def _free_address() -> Address:
@@ -159,7 +159,7 @@
         primary = self.peers[source]
         if not self._reaches(primary) or primary.term != term:
             raise FencedError(f'{source} does not lead term {term}')
-        if not self.engine.holds_prefix_of(primary.engine):
+        if not self.engine.is_prefix_of(primary.engine):
             self.engine.copy_from(primary.engine)
         self.fenced_term = term
         self.term = term
@@ -175,14 +175,14 @@
         """Add a committed transaction to the log."""
         await self._append(changes)
 
-    async def wait_reachable(self, peer: str) -> None:
+    async def wait_until_reachable(self, peer: str) -> None:
         """Return when no fault keeps `peer`'s traffic from arriving."""
         while self.faults.paused or peer in self.faults.cut_from:
-            await curio.sleep(_FAULT_POLL)
+            await curio.sleep(_FAULT_POLL_INTERVAL_S)
 
-    async def wait_growth(self) -> None:
+    async def wait_for_log_growth(self) -> None:
         """Return when the log has grown, or after a short while."""
-        async with curio.ignore_after(_GROWTH_WAIT):
+        async with curio.ignore_after(_LOG_GROWTH_TIMEOUT_S):
             async with self._grown:
                 await self._grown.wait()
 
@@ -190,11 +190,11 @@
         """Take over the source's log for as long as the server runs."""
         while True:
             if not self._may_receive():
-                await curio.sleep(_FAULT_POLL)
+                await curio.sleep(_FAULT_POLL_INTERVAL_S)
                 continue
             source = self.peers[self._source or '']
             if source.engine.received <= self.engine.received:
-                await source.wait_growth()
+                await source.wait_for_log_growth()
                 continue
             entry = source.engine.log[self.engine.received]
             due = entry.committed_at + self.profile.hop_latency
@@ -211,14 +211,14 @@
         while True:
             behind = self.engine.applied < self.engine.received
             if self.role is Role.PRIMARY or self.faults.paused or not behind:
-                await self.wait_growth()
+                await self.wait_for_log_growth()
                 continue
             entry = self.engine.log[self.engine.applied]
             due = entry.committed_at + self.profile.apply_lag
             now = await curio.clock()
             if due > now:
                 # Look again soon: a test may have changed the lag meanwhile.
-                await curio.sleep(min(due - now, _FAULT_POLL))
+                await curio.sleep(min(due - now, _FAULT_POLL_INTERVAL_S))
             else:
                 self.engine.apply_next()
 
--- a/deckdrum/standins/session.py
+++ b/deckdrum/standins/session.py
@@ -24,9 +24,9 @@
     codec,
     decode_frontend,
     decode_startup,
-    encode_complete,
+    encode_command_complete,
     encode_error,
-    encode_parameter,
+    encode_parameter_status,
     encode_ready,
 )
 
@@ -77,7 +77,7 @@
             frame = await self.reader.read_frame()
             if frame is None or frame.tag == tags.TERMINATE:
                 return
-            await self.database.wait_reachable(self.source)
+            await self.database.wait_until_reachable(self.source)
             if frame.tag in {tags.QUERY, tags.SYNC}:
                 await curio.sleep(self.latency * 2)
             await self._answer(frame)
@@ -148,7 +148,7 @@
 
     async def send(self, payload: bytes) -> None:
         """Send an answer unless a fault holds it back."""
-        await self.database.wait_reachable(self.source)
+        await self.database.wait_until_reachable(self.source)
         await self.stream.send(payload)
 
     async def _answer(self, frame: Frame) -> None:
@@ -223,7 +223,7 @@
         command = answer.command
         if command == 'SELECT':
             command = f'SELECT {count}'
-        await self.send(encode_complete(command))
+        await self.send(encode_command_complete(command))
 
 
 _STEPS: Final = MappingProxyType(
@@ -269,7 +269,7 @@
 ) -> None:
     title = startup.params.get('application_name', '')
     source, _, place = title.partition('@')
-    await database.wait_reachable(source)
+    await database.wait_until_reachable(source)
     profile = database.profile
     if len(database.sessions) >= profile.max_connections:
         text = 'sorry, too many clients already'
@@ -311,13 +311,13 @@
 def _build_greeting(number: int) -> bytes:
     parts = [
         codec.AuthenticationOk().to_wire(),
-        encode_parameter('server_version', '16.0'),
-        encode_parameter('client_encoding', 'UTF8'),
-        encode_parameter('server_encoding', 'UTF8'),
-        encode_parameter('DateStyle', 'ISO, MDY'),
-        encode_parameter('standard_conforming_strings', 'on'),
-        encode_parameter('integer_datetimes', 'on'),
-        encode_parameter('TimeZone', 'UTC'),
+        encode_parameter_status('server_version', '16.0'),
+        encode_parameter_status('client_encoding', 'UTF8'),
+        encode_parameter_status('server_encoding', 'UTF8'),
+        encode_parameter_status('DateStyle', 'ISO, MDY'),
+        encode_parameter_status('standard_conforming_strings', 'on'),
+        encode_parameter_status('integer_datetimes', 'on'),
+        encode_parameter_status('TimeZone', 'UTC'),
         codec.BackendKeyData(number, secrets.token_bytes(4)).to_wire(),
         encode_ready('I'),
     ]
--- a/deckdrum/standins/users/databases.py
+++ b/deckdrum/standins/users/databases.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from deckdrum.standins.users.records import Entry, Ran
+from deckdrum.standins.users.records import Entry, ExecutedStatement
 from deckdrum.standins.users.servers import (
     PRIMARY,
     REPLICA,
@@ -20,7 +20,7 @@
 
 _CONFLICT: Final = 409
 #: Pause between two looks at what the replicas have received, in seconds.
-_RECEIVED_POLL: Final = 0.002
+_REPLICATION_POLL_INTERVAL_S: Final = 0.002
 
 
 @dataclass(slots=True)
@@ -57,17 +57,17 @@
     store: StandinStore
     lag: float = 0.02
     work: float = 0.005
-    promote_time: float = 0.3
+    promotion_time: float = 0.3
     synchronous: int = 0
     max_connections: int = 23
     servers: dict[str, DatabaseServer] = field(default_factory=dict)
-    ran: list[Ran] = field(default_factory=list)
+    ran: list[ExecutedStatement] = field(default_factory=list)
     promotions: list[tuple[str, str, int]] = field(default_factory=list)
-    lost_promotions: int = 0
+    unanswered_promotions: int = 0
     _calls: HttpServer | None = None
 
     @property
-    def calls_address(self) -> Address:
+    def promotion_address(self) -> Address:
         """Where promotions are taken."""
         if self._calls is None:
             raise RuntimeError('the stand-in has not been started')
@@ -122,7 +122,7 @@
             if server is not primary:
                 await curio.spawn(self._send, primary, server, daemon=True)
         while self._count_received(primary, entry) < self.synchronous:
-            await curio.sleep(_RECEIVED_POLL)
+            await curio.sleep(_REPLICATION_POLL_INTERVAL_S)
 
     async def catch_up(self, server: DatabaseServer) -> None:
         """Give a replica the log that it lacks."""
@@ -138,7 +138,7 @@
     async def rejoin(self, server: DatabaseServer) -> None:
         """Have a database that is back follow whoever leads, or will lead."""
         while not any(each.role == PRIMARY for each in self.servers.values()):
-            await curio.sleep(_RECEIVED_POLL)
+            await curio.sleep(_REPLICATION_POLL_INTERVAL_S)
         if self.primary is not server:
             await server.follow(self.primary.term, self.primary.log)
 
@@ -157,7 +157,7 @@
     ) -> None:
         await curio.sleep(self.lag)
         is_linked = primary.is_running and not primary.is_dark
-        is_open = server.is_running and not server.is_deaf
+        is_open = server.is_running and not server.is_replication_blocked
         is_held = server.held_term > primary.term
         if not is_linked or not is_open or is_held:
             return
@@ -175,13 +175,13 @@
         self.promotions.append((server.name, holder, fence))
         if server.role != PRIMARY:
             await curio.spawn(self._change, server, daemon=True)
-        if self.lost_promotions:
-            self.lost_promotions -= 1
+        if self.unanswered_promotions:
+            self.unanswered_promotions -= 1
             return None
         return Reply.from_text('accepted')
 
     async def _change(self, server: DatabaseServer) -> None:
-        await curio.sleep(self.promote_time)
+        await curio.sleep(self.promotion_time)
         term = max(each.term for each in self.servers.values()) + 1
         await server.lead(term)
         for other in self.servers.values():
--- a/deckdrum/standins/users/records.py
+++ b/deckdrum/standins/users/records.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class ExecutedStatement:
     """A statement that a database has run, with the log it ran on."""
 
     server: str
--- a/deckdrum/standins/users/servers.py
+++ b/deckdrum/standins/users/servers.py
@@ -9,15 +9,15 @@
 
 from deckdrum.standins.users.connections import Connection, remember
 from deckdrum.standins.users.lines import read_line
-from deckdrum.standins.users.records import Entry, Ran
-from deckdrum.standins.users.store import FOREVER, StandinStore
+from deckdrum.standins.users.records import Entry, ExecutedStatement
+from deckdrum.standins.users.store import HANG_DURATION_S, StandinStore
 from deckdrum.utils import Address, Listener, Stream
 
 PRIMARY: Final = 'primary'
 REPLICA: Final = 'replica'
 #: When a database first started, and how much later it starts again, in ms.
-FIRST_START: Final = 1_764_730_000_000
-RESTART_TIME: Final = 60_000
+FIRST_START_UNIX_MS: Final = 1_764_730_000_000
+RESTART_DELAY_MS: Final = 60_000
 #: Statements that take the database's time, so that a fault can hit them.
 _WORK_WORDS: Final = frozenset(('READ', 'WRITE', 'EXECUTE', 'COMMIT', 'AFTER'))
 #: Statements that ask for or change the state of the database itself.
@@ -49,7 +49,7 @@
     store: StandinStore
     work: float
     max_connections: int
-    ran: list[Ran]
+    ran: list[ExecutedStatement]
 
     @abstractmethod
     async def commit(
@@ -115,7 +115,7 @@
         #: Whether it answers nothing, as without power.
         self.is_dark = False
         #: Whether it receives nothing from the primary.
-        self.is_deaf = False
+        self.is_replication_blocked = False
         self.load = Load()
         #: Answers to lose: what runs next is not answered.
         self.lost_answers = 0
@@ -123,11 +123,11 @@
         self.rejections: list[str] = []
         self.state = 'ready'
         #: Where others are told to connect, if not straight to it.
-        self.listed_address: Address | None = None
+        self.advertised_address: Address | None = None
         #: Whether it keeps its entry in the directory.
         self.is_listed = True
         #: When it started, in Unix milliseconds.
-        self._born = FIRST_START
+        self._started_at_ms = FIRST_START_UNIX_MS
         self._connections: set[Stream] = set()
         self._listener: Listener | None = None
         self._address = Address('127.0.0.1', 0)
@@ -168,7 +168,7 @@
         It says that it has a `role`, in the first term.
         """
         await self.crash()
-        self._born += RESTART_TIME
+        self._started_at_ms += RESTART_DELAY_MS
         self.role = role
         self.term = 1
         self.log = []
@@ -183,7 +183,7 @@
             self.name,
             {
                 'service': self.group.service,
-                'address': str(self.listed_address or self._address),
+                'address': str(self.advertised_address or self._address),
                 'zone': self.zone,
                 'version': 'v1',
                 'slots': 3,
@@ -191,7 +191,7 @@
                 'coldLeftMs': 0,
                 'dbRole': self.role,
                 'seq': 1,
-                'born': self._born,
+                'born': self._started_at_ms,
             },
         )
 
@@ -234,7 +234,7 @@
 
     async def _stay_dark(self) -> None:
         if self.is_dark:
-            await curio.sleep(FOREVER)
+            await curio.sleep(HANG_DURATION_S)
 
     async def _open(self, stream: Stream, line: str) -> bool:
         await self._stay_dark()
@@ -267,7 +267,7 @@
             answer = await self._run(connection, request_id, text)
         if is_work and self.lost_answers:
             self.lost_answers -= 1
-            await curio.sleep(FOREVER)
+            await curio.sleep(HANG_DURATION_S)
         ready = f'READY {connection.state} {self.log_end}\r\n'
         await connection.stream.send((answer + ready).encode())
 
@@ -378,7 +378,7 @@
         request_id: str,
         text: str,
     ) -> str:
-        ran = Ran(
+        ran = ExecutedStatement(
             self.name,
             request_id,
             text,
--- a/deckdrum/standins/users/store.py
+++ b/deckdrum/standins/users/store.py
@@ -36,7 +36,7 @@
 _CONFLICT: Final = 409
 _GONE: Final = 410
 #: Longer than any test runs, in seconds.
-FOREVER: Final = 3600.0
+HANG_DURATION_S: Final = 3600.0
 _Object = dict[str, Any]
 _ByName = dict[str, _Object]
 
@@ -84,11 +84,11 @@
     _watches: int = 0
     _muted: int = 0
 
-    def mute_watches(self) -> None:
+    def stall_pending_watches(self) -> None:
         """Never answer the watches that wait now; later ones are."""
         self._muted = self._watches
 
-    async def open_door(self, name: str) -> Address:
+    async def open_endpoint(self, name: str) -> Address:
         """Listen for one machine, which can be turned away by its name."""
         door = HttpServer(Address('127.0.0.1', 0), partial(self._answer, name))
         await door.start()
@@ -132,7 +132,7 @@
         stored = self._stored.get(kind, {}).get(name)
         return None if stored is None else stored['spec']
 
-    async def forget_history(self) -> None:
+    async def compact_history(self) -> None:
         """Cut the watches, and answer those from earlier revisions by 410."""
         self._events.clear()
         self._history_from = self.revision
@@ -156,7 +156,7 @@
         if fault is StoreFault.RESET:
             return None
         if fault is StoreFault.SILENT:
-            await curio.sleep(FOREVER)
+            await curio.sleep(HANG_DURATION_S)
             return None
         status = _FAULT_STATUS.get(fault)
         if status is not None:
@@ -212,7 +212,7 @@
                 while not self._has_news(kind, since):
                     await self._changed.wait()
         if number <= self._muted:
-            await curio.sleep(FOREVER)
+            await curio.sleep(HANG_DURATION_S)
         if since < self._history_from:
             return Reply.from_text('history is gone', _GONE)
         events = [
@@ -224,8 +224,8 @@
         )
 
     def _has_news(self, kind: str, since: int) -> bool:
-        is_cut = since < self._history_from
-        return is_cut or bool(self._find_events(kind, since))
+        are_partitioned = since < self._history_from
+        return are_partitioned or bool(self._find_events(kind, since))
 
     def _find_events(self, kind: str, since: int) -> list[_Event]:
         return [
--- a/deckdrum/testing/golden.py
+++ b/deckdrum/testing/golden.py
@@ -21,7 +21,7 @@
 )
 
 
-class Scribe:
+class SessionRecorder:
     """Plays a session against a deployment and writes it down.
 
     Parameters
@@ -47,7 +47,7 @@
         shown = ' '.join(sorted(options))
         self.lines.append(f'{name} connects to {proxy} {shown}'.strip())
 
-    async def roam(self, name: str, proxy: str, **options: str) -> None:
+    async def reconnect(self, name: str, proxy: str, **options: str) -> None:
         """Log a caller in at another proxy, with its session's token."""
         token = self._clients[name].token
         await self._clients[name].close()
@@ -58,7 +58,9 @@
         message = codec.Query(query_string=text).to_wire()
         await self.send(name, f'Query {text}', message)
 
-    async def extended(self, name: str, text: str, *bound: str) -> None:
+    async def send_extended_query(
+        self, name: str, text: str, *bound: str
+    ) -> None:
         """Send Parse, Bind, Describe, Execute and Sync."""
         parts = (
             codec.Parse(query=text).to_wire(),
--- a/deckdrum/testing/limits.py
+++ b/deckdrum/testing/limits.py
@@ -13,11 +13,11 @@
 from deckdrum.outcomes import Refusal
 from deckdrum.utils import Address
 from deckdrum.utils.counters import Counters
-from deckdrum.utils.journal import silent_journal
+from deckdrum.utils.journal import open_null_journal
 from deckdrum.workspaces import Workspace, WorkspaceDirectory
 
 #: One way between two nodes, in seconds.
-HOP = 0.0005
+ONE_WAY_DELAY_S = 0.0005
 CENTRES = ('ba-hall', 'tt-hall', 'nr-hall')
 
 
@@ -45,7 +45,7 @@
     def __init__(self, fleet: 'LimitFleet', node: int) -> None:
         self._fleet = fleet
         self._node = node
-        self.health = PeerHealth(self.ask, silent_journal('test'))
+        self.health = PeerHealth(self.ask, open_null_journal('test'))
 
     async def ask(
         self,
@@ -55,10 +55,10 @@
     ) -> PeerAnswer:
         """Ask a node of the fleet, or wait in vain for one that is cut off."""
         other = address.port
-        await curio.sleep(2 * HOP)
+        await curio.sleep(2 * ONE_WAY_DELAY_S)
         if other in self._fleet.dead:
             return ConnectionRefusedError('no process')
-        if self._fleet.is_cut(self._node, other):
+        if self._fleet.are_partitioned(self._node, other):
             await curio.sleep(limit)
             return None
         if isinstance(question, Heartbeat):
@@ -73,13 +73,13 @@
     """One node of a `LimitFleet`."""
 
     def __init__(self, fleet: 'LimitFleet', number: int) -> None:
-        journal = silent_journal('test')
+        journal = open_null_journal('test')
         # Nothing of the store is asked here.
         self.view = ControlView(None, journal)  # type: ignore[arg-type]
         peers = FleetPeers(fleet, number)
         name = f'n{number}'
         self.counter = LimitCounter(name, self.view, peers, DEFAULT_TOLERANCE)
-        self.asker = LimitClient(
+        self.limit_client = LimitClient(
             name,
             self.view,
             peers,
@@ -116,9 +116,9 @@
         """Let every node know the others and the limit."""
         await self.limit(self.workspace)
         for node in self.nodes:
-            await self.introduce(node)
+            await self.register_members(node)
 
-    async def introduce(self, node: FleetNode) -> None:
+    async def register_members(self, node: FleetNode) -> None:
         """Let a node know the others."""
         for number, _ in enumerate(self.nodes):
             centre = CENTRES[number % len(CENTRES)]
@@ -143,15 +143,17 @@
         node.view.configuration = self.nodes[number].view.configuration
         self.nodes[number] = node
         self.dead.discard(number)
-        await self.introduce(node)
+        await self.register_members(node)
 
-    def is_cut(self, one: int, other: int) -> bool:
+    def are_partitioned(self, one: int, other: int) -> bool:
         """Tell whether two nodes do not reach each other."""
         return any((one in part) != (other in part) for part in self.parts)
 
     async def send(self, number: int) -> Refusal | None:
         """Let a caller of a node begin an operation."""
-        refusal = await self.nodes[number].asker.try_begin(self.workspace)
+        refusal = await self.nodes[number].limit_client.try_begin(
+            self.workspace
+        )
         if refusal is None:
             self.begun.append(await curio.clock())
         else:
--- a/deckdrum/testing/nodes.py
+++ b/deckdrum/testing/nodes.py
@@ -13,42 +13,42 @@
 from deckdrum.fleet.policies import ALL_POLICIES, Policy
 from deckdrum.node import Node, NodeSettings
 from deckdrum.platform.backends import PlatformBackend
-from deckdrum.platform.duties import PlatformDuty
 from deckdrum.platform.frontend import Frontend
+from deckdrum.platform.promotion_client import PlatformPromotionClient
 from deckdrum.platform.store import PlatformStore
 from deckdrum.standins.users import DatabaseGroup, StandinStore, read_line
 from deckdrum.utils import Address, Stream, dial, open_journal
 from deckdrum.utils.counters import Counters
-from deckdrum.utils.journal import silent_journal
+from deckdrum.utils.journal import open_null_journal
 from deckdrum.utils.virtualtime import run_virtual
 
 #: Below the ports that the kernel gives by itself.
 _FIRST_PORT: Final = 10_000
 #: Values of one part of an address, but the last, which is never a host.
-_OCTET: Final = 250
+_OCTET_RANGE: Final = 250
 ZONES: Final = ('ba-hall', 'tt-hall', 'nr-hall')
 SERVICE: Final = 'stalls'
 #: Database names of the three kinds of route.
 CURRENT: Final = 'db-current'
 BOUNDED: Final = 'db-bounded'
-OWN: Final = 'db-own'
+OWN_WRITES: Final = 'db-own'
 BOUNDED_AGE_MS: Final = 1500
-OWN_AGE_MS: Final = 2500
+OWN_WRITES_AGE_MS: Final = 2500
 #: Addresses of one process's own: other processes on the machine, such as
 #: tests beside this one, take ports of 127.0.0.1 at any moment.
-_PLACE: Final = divmod(os.getpid() % _OCTET**2, _OCTET)
-_HOST: Final = f'127.1.{_PLACE[0]}.{_PLACE[1] + 1}'
+_HOST_OCTETS: Final = divmod(os.getpid() % _OCTET_RANGE**2, _OCTET_RANGE)
+_HOST: Final = f'127.1.{_HOST_OCTETS[0]}.{_HOST_OCTETS[1] + 1}'
 _PORTS: Final = itertools.count(_FIRST_PORT)
 #: Pause between two looks at a condition that is waited for, in seconds.
 _POLL: Final = 0.02
 #: Longer than a node needs to learn of the others, in seconds.
-SETTLE: Final = 1.5
+DISCOVERY_TIME_S: Final = 1.5
 #: Longest wait for a condition and for a whole answer, in seconds.
 #: Longest time of a caller that writes until it succeeds, in seconds.
-WRITE_LIMIT: Final = 8.0
+WRITE_TIMEOUT_S: Final = 8.0
 _WRITE_PAUSE: Final = 0.05
 _START_LIMIT: Final = 5.0
-_ANSWER_LIMIT: Final = 6.0
+_REPLY_TIMEOUT_S: Final = 6.0
 
 
 def build_route(host: str, kind: str, **fields: Any) -> dict[str, Any]:
@@ -74,7 +74,9 @@
         'routes': [
             build_route(CURRENT, 'primary'),
             build_route(BOUNDED, 'bounded', maxStalenessMs=BOUNDED_AGE_MS),
-            build_route(OWN, 'own_writes', maxStalenessMs=OWN_AGE_MS),
+            build_route(
+                OWN_WRITES, 'own_writes', maxStalenessMs=OWN_WRITES_AGE_MS
+            ),
         ],
         'services': [
             {'name': SERVICE, 'maxConns': 23, 'syncReplicas': 0},
@@ -84,7 +86,7 @@
     return defaults | fields
 
 
-def build_tenant(name: str, *keys: str, **fields: Any) -> dict[str, Any]:
+def build_workspace(name: str, *keys: str, **fields: Any) -> dict[str, Any]:
     """Return a workspace as the operator writes it, without a limit."""
     return {'name': name, 'apiKeys': list(keys), 'priority': 1} | fields
 
@@ -140,7 +142,7 @@
     async def read_reply(self) -> Reply:
         """Return the next whole answer; without a state at the end."""
         reply = Reply()
-        async with curio.timeout_after(_ANSWER_LIMIT):
+        async with curio.timeout_after(_REPLY_TIMEOUT_S):
             while True:
                 line = await read_line(self.stream, self._buffer)
                 if line is None:
@@ -155,7 +157,7 @@
                     reply.end = word
                     reply.text = rest
 
-    async def write_until_done(self, limit: float = WRITE_LIMIT) -> float:
+    async def write_until_done(self, limit: float = WRITE_TIMEOUT_S) -> float:
         """Write until it succeeds; return how long that took in seconds."""
         began: float = await curio.clock()
         async with curio.timeout_after(limit):
@@ -200,7 +202,7 @@
     def __init__(
         self,
         nodes: int = 3,
-        settle: float = SETTLE,
+        settle: float = DISCOVERY_TIME_S,
         centres: int = 3,
         logs: Sequence[TextIO] = (),
         policies: frozenset[Policy] = ALL_POLICIES,
@@ -247,14 +249,16 @@
     ) -> RunningNode:
         """Start a node, which logs to `lines` if they are given."""
         name = f'n{number}'
-        door = await self.store.open_door(name)
+        door = await self.store.open_endpoint(name)
         counters = Counters()
-        journal = open_journal(name, lines) if lines else silent_journal(name)
+        journal = (
+            open_journal(name, lines) if lines else open_null_journal(name)
+        )
         store = PlatformStore(door, journal, counters)
         settings = NodeSettings(
             name=name,
             data_centre=ZONES[number % self._centres],
-            peer_address=take_address(),
+            peer_address=allocate_address(),
             seeds=seeds,
             seed=number + 1,
             policies=self._policies,
@@ -262,13 +266,13 @@
         node = Node(
             settings,
             store,
-            PlatformDuty(self.group.calls_address),
+            PlatformPromotionClient(self.group.promotion_address),
             partial(PlatformBackend, node=name),
             journal,
             counters,
             partial(self._dial, number),
         )
-        frontend = Frontend(node, take_address())
+        frontend = Frontend(node, allocate_address())
         await node.start()
         await frontend.start()
         return RunningNode(node, frontend, store)
@@ -311,7 +315,7 @@
         handle = node.services[SERVICE].servers[server]
         await handle.pool.close_idle()
 
-    async def mend(self, number: int) -> None:
+    async def heal_partition(self, number: int) -> None:
         """End the cuts of a node."""
         self._cuts.pop(number, None)
 
@@ -365,7 +369,7 @@
     return runtime is not None and runtime.leadership_state.has_primary
 
 
-def take_address() -> Address:
+def allocate_address() -> Address:
     """Return an address that nobody else uses.
 
     The host is this process's own, and a port is given only once; ports that
--- a/deckdrum/testing/pools.py
+++ b/deckdrum/testing/pools.py
@@ -4,7 +4,7 @@
 from deckdrum.backends.pool import Connectable
 
 
-class CountedLink(PooledLink):
+class StubLink(PooledLink):
     """A connection that does nothing.
 
     Parameters
@@ -27,18 +27,18 @@
         self.is_open = False
 
 
-class CountedServer(Connectable[CountedLink]):
+class StubServer(Connectable[StubLink]):
     """A server that remembers every connection to it."""
 
     def __init__(self) -> None:
-        self.links: list[CountedLink] = []
+        self.links: list[StubLink] = []
 
     @property
     def open(self) -> list[str]:
         """Workspaces of the open connections, in the order of their opening."""
         return [link.workspace for link in self.links if link.is_open]
 
-    async def connect(self, limit: float) -> CountedLink:
+    async def connect(self, limit: float) -> StubLink:
         """Open a connection of nobody's."""
         return await self.connect_for('', limit)
 
@@ -47,17 +47,17 @@
         group: str,
         limit: float,
         workspace: str | None = None,
-    ) -> CountedLink:
+    ) -> StubLink:
         """Open a connection of a workspace."""
-        link = CountedLink(workspace or '')
+        link = StubLink(workspace or '')
         self.links.append(link)
         return link
 
 
-CountedPool = Pool[CountedServer, CountedLink]
-CountedLease = Lease[CountedServer, CountedLink]
+CountedPool = Pool[StubServer, StubLink]
+CountedLease = Lease[StubServer, StubLink]
 
 
 def build_pool(slots: int) -> CountedPool:
     """Return a pool of a few connections to a server of its own."""
-    return Pool(CountedServer(), slots, {})
+    return Pool(StubServer(), slots, {})
--- a/deckdrum/utils/counters.py
+++ b/deckdrum/utils/counters.py
@@ -28,7 +28,7 @@
     >>> counters = Counters()
     >>> counters.count('status_questions')
     >>> counters.count_served('stalls', 'read', 'replica')
-    >>> counters.note_latency('bounded', 'done', 0.03)
+    >>> counters.record_latency('bounded', 'done', 0.03)
     >>> counters.count_store_call('watch', 'members', 'answered')
     >>> b'deckdrum_node_events_total{event="status_questions"} 1.0' in (
     ...     counters.render()
@@ -72,7 +72,9 @@
         """
         self.store_calls[call, kind, outcome] += 1
 
-    def count_work(self, service: str, workspace: str, outcome: str) -> None:
+    def count_statement_outcome(
+        self, service: str, workspace: str, outcome: str
+    ) -> None:
         """Count a caller's statement by what became of it."""
         self.work[service, workspace, outcome] += 1
 
@@ -94,7 +96,7 @@
             for labels, number in sorted(self.store_calls.items())
         }
 
-    def note_latency(
+    def record_latency(
         self,
         guarantee: str,
         outcome: str,
--- a/deckdrum/utils/journal.py
+++ b/deckdrum/utils/journal.py
@@ -18,17 +18,17 @@
 #: Field names whose values are never written to a log.
 SECRET_FIELDS = frozenset(('password', 'key', 'secret', 'token', 'verifier'))
 #: Lines of one event in one second, for events that load can multiply.
-LINES_PER_SECOND: Final = 10
+MAX_LINES_PER_SECOND: Final = 10
 #: Time between two summaries of what was left out, in seconds.
-SUMMARY_INTERVAL: Final = 5.0
+SUMMARY_INTERVAL_S: Final = 5.0
 #: Bytes kept for a reader that is slow.
-_MOST_WAITING: Final = 65536
-_HIDDEN = '(hidden)'
+_MAX_BUFFERED_BYTES: Final = 65536
+_REDACTED = '(hidden)'
 # A timeout that ends a moment late is no event of ours.
 logging.getLogger('curio.time').setLevel(logging.ERROR)
 
 
-class LineBudget:
+class EventRateLimiter:
     """Bounds the lines of each event.
 
     Parameters
@@ -38,7 +38,7 @@
 
     Examples
     --------
-    >>> budget = LineBudget(lambda: 7.0, lines=1)
+    >>> budget = EventRateLimiter(lambda: 7.0, lines=1)
     >>> budget.take('request.refused'), budget.take('request.refused')
     (True, False)
     >>> budget.omitted
@@ -48,7 +48,7 @@
     def __init__(
         self,
         read_clock: Callable[[], float] = time.monotonic,
-        lines: int = LINES_PER_SECOND,
+        lines: int = MAX_LINES_PER_SECOND,
     ) -> None:
         #: Lines left out since the last summary, by event.
         self.omitted: Counter[str] = Counter()
@@ -70,10 +70,10 @@
         self._written[event] += 1
         return True
 
-    def take_summary(self) -> dict[str, int]:
+    def pop_summary(self) -> dict[str, int]:
         """Return what was left out, if it is time to tell."""
         now = self._read_clock()
-        if not self.omitted or now - self._told_at < SUMMARY_INTERVAL:
+        if not self.omitted or now - self._told_at < SUMMARY_INTERVAL_S:
             return {}
         self._told_at = now
         omitted = dict(self.omitted)
@@ -81,7 +81,7 @@
         return omitted
 
 
-class PatientStream:
+class NonBlockingStream:
     """A text stream over a descriptor that never waits for its reader.
 
     Parameters
@@ -100,7 +100,7 @@
     def write(self, text: str) -> int:
         """Write text, now or when the reader has room again."""
         encoded = text.encode()
-        if len(self._waiting) + len(encoded) > _MOST_WAITING:
+        if len(self._waiting) + len(encoded) > _MAX_BUFFERED_BYTES:
             self.dropped += 1
             return 0
         self._waiting.extend(encoded)
@@ -134,11 +134,11 @@
         self,
         logger: logging.Logger,
         source: str,
-        budget: LineBudget | None = None,
+        budget: EventRateLimiter | None = None,
     ) -> None:
         self._logger = logger
         self._source = source
-        self._budget = budget or LineBudget()
+        self._budget = budget or EventRateLimiter()
 
     def record(self, event: str, **fields: Any) -> None:
         """Write one change of state.
@@ -151,17 +151,17 @@
             What belongs to it; values of secret fields are hidden.
         """
         shown = {
-            name: _HIDDEN if name in SECRET_FIELDS else field
+            name: _REDACTED if name in SECRET_FIELDS else field
             for name, field in fields.items()
         }
         # As one mapping: names such as "name" would clash as extra fields.
         self._logger.info({'event': event, 'source': self._source, **shown})
 
-    def record_often(self, event: str, **fields: Any) -> None:
+    def record_rate_limited(self, event: str, **fields: Any) -> None:
         """Write an event that load can multiply, within its budget."""
         if self._budget.take(event):
             self.record(event, **fields)
-        omitted = self._budget.take_summary()
+        omitted = self._budget.pop_summary()
         if omitted:
             self.record('log.omitted', lines=omitted)
 
@@ -189,13 +189,13 @@
     return _build_journal(source, logging.StreamHandler(stream or sys.stderr))
 
 
-def open_patient_journal(source: str, descriptor: int) -> Journal:
+def open_nonblocking_journal(source: str, descriptor: int) -> Journal:
     """Return a journal that writes to a descriptor and never waits."""
-    sink = logging.StreamHandler(PatientStream(descriptor))
+    sink = logging.StreamHandler(NonBlockingStream(descriptor))
     return _build_journal(source, sink)
 
 
-def silent_journal(source: str) -> Journal:
+def open_null_journal(source: str) -> Journal:
     """Return a journal that writes nothing, for tests and experiments."""
     logger = logging.Logger(f'deckdrum.{source}', logging.CRITICAL)
     logger.addHandler(logging.NullHandler())
--- a/deckdrum/utils/streams.py
+++ b/deckdrum/utils/streams.py
@@ -15,11 +15,11 @@
 _BACKLOG: Final = 512
 #: Bytes without an acknowledgement end a connection after this time, in ms;
 #: as long as the databases wait for a far end that is dark.
-UNACKNOWLEDGED_LIMIT: Final = 3000
+TCP_USER_TIMEOUT_MS: Final = 3000
 #: Silence after which the kernel asks the far end, in seconds.
-KEEPALIVE_IDLE: Final = 5
+KEEPALIVE_IDLE_S: Final = 5
 #: Wait after a failed accept (descriptors used up), in seconds.
-_ACCEPT_PAUSE: Final = 0.05
+_ACCEPT_RETRY_DELAY_S: Final = 0.05
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -155,7 +155,7 @@
         except OSError:
             # Not connected any more: whoever waits is woken by that.
             await curio.sleep(0)
-        await self._wait_unused()
+        await self._wait_until_unwatched()
         await self._sock.close()
 
     async def abort(self) -> None:
@@ -170,10 +170,10 @@
             except OSError:
                 # Not connected any more: whoever waits is woken by that.
                 await curio.sleep(0)
-            await self._wait_unused()
+            await self._wait_until_unwatched()
             await self._sock.close()
 
-    async def _wait_unused(self) -> None:
+    async def _wait_until_unwatched(self) -> None:
         """Let tasks that wait on the socket leave it before it is closed.
 
         The kernel's selector must not keep a closed descriptor: the next
@@ -209,7 +209,7 @@
         If nobody answers in time, or the address cannot be reached.
     """
     raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    _tune(raw)
+    _set_socket_options(raw)
     sock = curio.io.Socket(raw)
     try:
         async with curio.timeout_after(limit):
@@ -230,17 +230,17 @@
     return Stream(sock, raw)
 
 
-def _tune(raw: socket.socket) -> None:
+def _set_socket_options(raw: socket.socket) -> None:
     """Send at once, and notice a peer that is gone without a word."""
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     raw.setsockopt(
         socket.IPPROTO_TCP,
         socket.TCP_USER_TIMEOUT,
-        UNACKNOWLEDGED_LIMIT,
+        TCP_USER_TIMEOUT_MS,
     )
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
-    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_IDLE)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_IDLE_S)
 
 
 class Listener:
@@ -262,7 +262,7 @@
         self.address = address
         self._serve = serve
         self._sock: Any = None
-        self._accepting: Any = None
+        self._accept_task: Any = None
         self._open: dict[Stream, Any] = {}
 
     @property
@@ -278,13 +278,13 @@
         raw.listen(_BACKLOG)
         self.address = Address(*raw.getsockname())
         self._sock = curio.io.Socket(raw)
-        self._accepting = await curio.spawn(self._accept, daemon=True)
+        self._accept_task = await curio.spawn(self._accept, daemon=True)
 
     async def stop_accepting(self) -> None:
         """Refuse new connections; open ones go on."""
         if self._sock is None:
             return
-        await self._accepting.cancel()
+        await self._accept_task.cancel()
         await self._sock.close()
         self._sock = None
 
@@ -300,9 +300,9 @@
             try:
                 sock, _ = await self._sock.accept()
             except OSError:
-                await curio.sleep(_ACCEPT_PAUSE)
+                await curio.sleep(_ACCEPT_RETRY_DELAY_S)
                 continue
-            _tune(sock._socket)
+            _set_socket_options(sock._socket)
             stream = Stream(sock, sock._socket)
             task = await curio.spawn(self._run, stream, daemon=True)
             self._open[stream] = task
--- a/deckdrum/utils/tasks.py
+++ b/deckdrum/utils/tasks.py
@@ -9,9 +9,9 @@
 from deckdrum.utils.journal import Journal
 
 #: Pause before a task that failed is begun again, in seconds.
-RESTART_PAUSE: Final = 0.2
+RESTART_DELAY_S: Final = 0.2
 #: Characters of a traceback that the log keeps, from its end.
-_TRACE_LENGTH: Final = 1500
+_MAX_TRACEBACK_CHARACTERS: Final = 1500
 
 
 async def keep_running(
@@ -36,13 +36,13 @@
         try:
             await work(*arguments)
         except Exception as error:
-            journal.record_often(
+            journal.record_rate_limited(
                 'task.failed',
                 task=work.__qualname__,
                 reason=repr(error),
-                trace=traceback.format_exc()[-_TRACE_LENGTH:],
+                trace=traceback.format_exc()[-_MAX_TRACEBACK_CHARACTERS:],
             )
-            await curio.sleep(RESTART_PAUSE)
+            await curio.sleep(RESTART_DELAY_S)
         else:
             return
 
--- a/deckdrum/utils/tests/test_journal.py
+++ b/deckdrum/utils/tests/test_journal.py
@@ -6,11 +6,11 @@
 
 from deckdrum.utils import open_journal
 from deckdrum.utils.journal import (
-    LINES_PER_SECOND,
-    SUMMARY_INTERVAL,
+    MAX_LINES_PER_SECOND,
+    SUMMARY_INTERVAL_S,
+    EventRateLimiter,
     Journal,
-    LineBudget,
-    open_patient_journal,
+    open_nonblocking_journal,
 )
 
 
@@ -32,7 +32,7 @@
 def _open(clock: Clock) -> tuple[Journal, io.StringIO]:
     lines = io.StringIO()
     journal = open_journal('n1', lines)
-    journal._budget = LineBudget(clock.read)
+    journal._budget = EventRateLimiter(clock.read)
     return journal, lines
 
 
@@ -41,27 +41,27 @@
     journal, lines = _open(clock)
     for number in range(1000):
         clock.now += 0.001
-        journal.record_often('request.refused', request=str(number))
-    assert len(_read_events(lines)) <= 2 * LINES_PER_SECOND
-    clock.now += SUMMARY_INTERVAL
-    journal.record_often('request.refused', request='last')
+        journal.record_rate_limited('request.refused', request=str(number))
+    assert len(_read_events(lines)) <= 2 * MAX_LINES_PER_SECOND
+    clock.now += SUMMARY_INTERVAL_S
+    journal.record_rate_limited('request.refused', request='last')
     told = _read_events(lines)[-1]
     assert told['event'] == 'log.omitted'
-    assert told['lines'] == {'request.refused': 1000 - LINES_PER_SECOND}
+    assert told['lines'] == {'request.refused': 1000 - MAX_LINES_PER_SECOND}
 
 
 def test_one_event_does_not_use_up_the_lines_of_another() -> None:
     clock = Clock()
     journal, lines = _open(clock)
     for _ in range(100):
-        journal.record_often('request.served')
-    journal.record_often('request.refused')
+        journal.record_rate_limited('request.served')
+    journal.record_rate_limited('request.refused')
     assert _read_events(lines)[-1]['event'] == 'request.refused'
 
 
 def test_reader_that_does_not_read_stops_nobody() -> None:
     receiving, sending = os.pipe()
-    journal = open_patient_journal('n1', sending)
+    journal = open_nonblocking_journal('n1', sending)
     for _ in range(20_000):
         journal.record('node.started', text='x' * 50)
     os.set_blocking(receiving, False)
--- a/deckdrum/utils/virtualtime.py
+++ b/deckdrum/utils/virtualtime.py
@@ -19,8 +19,8 @@
 #: synchronous on Linux; the second poll guards against a deferred delivery.
 _IDLE_POLLS: Final = 2
 #: Wall-clock wait, in seconds, used when no task has a deadline at all.
-_STALL_WAIT: Final = 0.05
-_STALL_LIMIT: Final = 200
+_STALL_POLL_TIMEOUT_S: Final = 0.05
+_MAX_STALLED_POLLS: Final = 200
 
 
 class VirtualClock:
@@ -95,9 +95,9 @@
 
     def _wait_for_thread(self) -> list[tuple[selectors.SelectorKey, int]]:
         self._stalls += 1
-        if self._stalls > _STALL_LIMIT:
+        if self._stalls > _MAX_STALLED_POLLS:
             raise RuntimeError('every task waits and none has a deadline')
-        return self._poll(_STALL_WAIT)
+        return self._poll(_STALL_POLL_TIMEOUT_S)
 
 
 def run_virtual(
@@ -127,7 +127,7 @@
     3600
     """
     clock = VirtualClock()
-    with _replaced_time(clock):
+    with _patch_kernel_clock(clock):
         kernel = curio.Kernel(
             selector=VirtualSelector(clock),
             max_select_timeout=None,
@@ -138,7 +138,7 @@
 
 
 @contextmanager
-def _replaced_time(clock: VirtualClock) -> Iterator[None]:
+def _patch_kernel_clock(clock: VirtualClock) -> Iterator[None]:
     original = curio_kernel.time
     curio_kernel.time = SimpleNamespace(monotonic=clock.monotonic)
     try:
--- a/deckdrum/wire/__init__.py
+++ b/deckdrum/wire/__init__.py
@@ -4,7 +4,7 @@
 from deckdrum.wire.messages import (
     decode_frontend,
     encode_error,
-    encode_parameter,
+    encode_parameter_status,
     encode_ready,
 )
 
@@ -14,6 +14,6 @@
     'WireError',
     'decode_frontend',
     'encode_error',
-    'encode_parameter',
+    'encode_parameter_status',
     'encode_ready',
 ]
--- a/deckdrum/wire/frames.py
+++ b/deckdrum/wire/frames.py
@@ -100,7 +100,7 @@
         self._start = 0
 
     @property
-    def buffered(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes received and not yet taken."""
         return len(self._buffer) - self._start
 
@@ -118,14 +118,14 @@
                 return frame
             chunk = await self._stream.receive()
             if not chunk:
-                if self.buffered:
+                if self.buffered_bytes:
                     raise WireError('the stream ended inside a message')
                 return None
             self._buffer.extend(chunk)
 
     def take_frame(self) -> Frame | None:
         """Return a message that has already arrived whole, or None."""
-        if self.buffered < _HEADER_BYTES:
+        if self.buffered_bytes < _HEADER_BYTES:
             return None
         tag, length = _HEADER.unpack_from(self._buffer, self._start)
         if length < _LENGTH_BYTES or length > self._max_bytes:
@@ -149,8 +149,8 @@
             If its length cannot be right.
         """
         while True:
-            if self.buffered >= _LENGTH_BYTES:
-                body = self._take_startup()
+            if self.buffered_bytes >= _LENGTH_BYTES:
+                body = self._pop_startup()
                 if body is not None:
                     return body
             chunk = await self._stream.receive()
@@ -158,7 +158,7 @@
                 return None
             self._buffer.extend(chunk)
 
-    def _take_startup(self) -> bytes | None:
+    def _pop_startup(self) -> bytes | None:
         (length,) = struct.unpack_from('!I', self._buffer, self._start)
         if length < _LENGTH_BYTES * 2 or length > self._max_bytes:
             raise WireError(f'start-up message declares {length} bytes')
--- a/deckdrum/wire/messages.py
+++ b/deckdrum/wire/messages.py
@@ -19,7 +19,7 @@
     'decode_frontend',
     'decode_startup',
     'encode_error',
-    'encode_parameter',
+    'encode_parameter_status',
     'encode_ready',
 ]
 
@@ -99,7 +99,7 @@
     return codec.ErrorResponse(fields=fields).to_wire()
 
 
-def encode_parameter(name: str, text: str) -> bytes:
+def encode_parameter_status(name: str, text: str) -> bytes:
     """Return a ParameterStatus."""
     return codec.ParameterStatus(name=name, value=text).to_wire()
 
@@ -115,7 +115,7 @@
     return codec.ReadyForQuery(status=TransactionStatus(status)).to_wire()
 
 
-def encode_complete(command: str) -> bytes:
+def encode_command_complete(command: str) -> bytes:
     """Return a CommandComplete."""
     return codec.CommandComplete(tag=command).to_wire()
 
--- a/deckdrum/workspaces/tests/test_keys.py
+++ b/deckdrum/workspaces/tests/test_keys.py
@@ -12,20 +12,20 @@
 from deckdrum.testing.nodes import (
     BOUNDED,
     CURRENT,
-    OWN,
+    OWN_WRITES,
     Deployment,
     LineClient,
     build_config,
     build_route,
-    build_tenant,
+    build_workspace,
     play,
 )
 from deckdrum.utils.virtualtime import run_virtual
 
 KEY = 'nirth5mgjy5rcpihhacr'
 OTHER_KEY = 'uddedev3nax7u27gxpry'
-GROWERS = build_tenant('growers', KEY)
-SHOPPERS = build_tenant('shoppers', OTHER_KEY)
+GROWERS = build_workspace('growers', KEY)
+SHOPPERS = build_workspace('shoppers', OTHER_KEY)
 EXPECTED_WORKSPACES = {True: 'growers', False: 'shoppers'}
 #: More nodes than connections per server: some nodes forward statements.
 MANY_NODES = 12
@@ -45,13 +45,13 @@
 async def _send_with_keys(deployment: Deployment, number: int) -> None:
     """Send statements to a node with known and unknown keys."""
     for key in (KEY, OTHER_KEY, 'guessed'):
-        client = await deployment.connect(OWN, number, key)
+        client = await deployment.connect(OWN_WRITES, number, key)
         if not client.greeting.end:
             await client.ask('READ a')
             await client.ask('WRITE a 1')
 
 
-@pytest.mark.parametrize('database', [CURRENT, BOUNDED, OWN])
+@pytest.mark.parametrize('database', [CURRENT, BOUNDED, OWN_WRITES])
 @pytest.mark.parametrize(
     ('nodes', 'limit'), [(3, 23), (MANY_NODES, FEW_CONNECTIONS)]
 )
@@ -120,7 +120,7 @@
         assert (await idle.ask('BEGIN')).is_done
         assert (await active.ask('BEGIN')).is_done
         assert (await active.ask('READ a')).is_done
-        await deployment.configure(3, tenants=[build_tenant('growers')])
+        await deployment.configure(3, tenants=[build_workspace('growers')])
         executed = len(deployment.group.ran)
         assert await _is_refused(client)
         assert await _is_refused(client, 'BEGIN')
@@ -140,9 +140,9 @@
         await deployment.configure(2, tenants=[GROWERS, SHOPPERS])
         client = await deployment.connect(CURRENT, key=KEY)
         assert (await client.ask('READ a')).is_done
-        reassigned = build_tenant('shoppers', OTHER_KEY, KEY)
+        reassigned = build_workspace('shoppers', OTHER_KEY, KEY)
         await deployment.configure(
-            3, tenants=[build_tenant('growers'), reassigned]
+            3, tenants=[build_workspace('growers'), reassigned]
         )
         assert (await client.ask('READ b')).is_done
         assert [executed.who for executed in deployment.group.ran] == [
