--- a/deckdrum/databases/base.py
+++ b/deckdrum/databases/base.py
@@ -1,13 +1,13 @@
-"""The interface to a backend database, and what it promises.
+"""Interface to a backend database.
 
-The contract on which failover rests:
+Failover relies on these guarantees:
 
-* A database that was fenced at a term refuses the log and the writes of
-  every lower term, for ever, also after a restart.
+* A database that was fenced at a term permanently rejects the log and the
+  writes of every lower term, including after a restart.
 * ``promote`` succeeds only on a database fenced at exactly that term.
-* A replica that follows a term has a log that is the beginning of that
-  term's primary's log.
-* ``received`` counts only what is durable.
+* The log of a replica that follows a term is a prefix of the log of that
+  term's primary.
+* ``received`` includes only durable log entries.
 """
 
 from abc import abstractmethod
@@ -21,7 +21,7 @@
 
 
 class Role(StrEnum):
-    """What a database does in its group."""
+    """Replication role of a database."""
 
     PRIMARY = 'primary'
     REPLICA = 'replica'
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatabaseState:
-    """What a database says of itself.
+    """Replication state as reported by a database.
 
     Attributes
     ----------
@@ -39,13 +39,13 @@
     term : int
         Term that it leads or follows.
     received : int
-        Offset up to which its log is durable.
+        Log offset up to which changes are durable.
     applied : int
-        Offset up to which readers see changes.
+        Log offset up to which changes are visible to reads.
     fenced : int
         Lowest term that it still accepts.
     leaving : bool
-        Whether its server is about to be taken away.
+        Whether its server is about to be removed.
     """
 
     role: Role
@@ -56,13 +56,13 @@
     leaving: bool
 
     def is_in_term(self, term: int) -> bool:
-        """Tell whether it leads or follows `term` and no later one."""
+        """Whether it leads or follows `term`, not fenced at a later one."""
         return self.term == term and self.fenced == term
 
 
 @dataclass(frozen=True, slots=True)
 class QueryResult:
-    """Answer to a query of the product's own.
+    """Result of a query issued by the proxy itself.
 
     `sqlstate` is empty if the query succeeded.
     """
@@ -74,19 +74,19 @@
 
 
 class DatabaseLink(PooledLink):
-    """One authenticated connection to a database.
+    """Authenticated connection to a database.
 
     Every method raises `ConnectionError` once the connection is broken.
     """
 
     #: Server names of the statements prepared on this connection.
     prepared: set[bytes]
-    #: Settings that were replayed on this connection.
+    #: Session settings in effect on this connection.
     settings: tuple[tuple[str, str], ...]
 
     @abstractmethod
     async def send(self, payload: bytes) -> None:
-        """Send messages."""
+        """Send encoded protocol messages."""
 
     @abstractmethod
     async def read_frame(self) -> Frame:
@@ -94,19 +94,19 @@
 
     @abstractmethod
     def take_frame(self) -> Frame | None:
-        """Return a message that has already arrived, or None."""
+        """Return the next buffered message, or None."""
 
     @abstractmethod
     async def query(self, text: str) -> QueryResult:
-        """Run a simple query and return its whole answer."""
+        """Run a simple query and return its complete result."""
 
     @abstractmethod
-    async def read_answer(self) -> QueryResult:
-        """Return the whole answer to a query that was sent."""
+    async def read_result(self) -> QueryResult:
+        """Read the complete result of a query that was already sent."""
 
     @abstractmethod
     async def cancel(self) -> None:
-        """Ask the database to cancel what runs on this connection."""
+        """Request cancellation of the statement running on the connection."""
 
 
 class Database(Connectable[DatabaseLink]):
@@ -115,7 +115,7 @@
     Parameters
     ----------
     entry : DatabaseEntry
-        How the configuration declares it.
+        Its configuration entry.
     """
 
     def __init__(self, entry: DatabaseEntry) -> None:
@@ -129,21 +129,21 @@
     @property
     @abstractmethod
     def state_request(self) -> bytes:
-        """Messages that ask for the state, to send behind a batch."""
+        """Encoded query for the state, to be pipelined after a batch."""
 
     @abstractmethod
     def decode_state(self, answer: QueryResult) -> DatabaseState | None:
-        """Return the state in an answer, or None if it is none."""
+        """Decode the state from a result; None if it has no state."""
 
     @abstractmethod
-    async def read_state(self, link: DatabaseLink) -> DatabaseState:
-        """Ask the database for its state."""
+    async def fetch_state(self, link: DatabaseLink) -> DatabaseState:
+        """Query the database for its state."""
 
     @abstractmethod
     async def fence(
         self, link: DatabaseLink, term: int
     ) -> DatabaseState | None:
-        """Fence at `term`; return the state, or None if refused."""
+        """Fence the database at `term`; return its state, None if refused."""
 
     @abstractmethod
     async def promote(
@@ -151,7 +151,7 @@
         link: DatabaseLink,
         term: int,
     ) -> DatabaseState | None:
-        """Make it the primary of `term`; None if refused."""
+        """Promote it to primary of `term`; return None if refused."""
 
     @abstractmethod
     async def follow(
@@ -163,5 +163,4 @@
         """Make it replicate from `primary` in `term`; None if refused."""
 
 
-#: A pool of connections to one database.
 DatabasePool = Pool[Database, DatabaseLink]
--- a/deckdrum/databases/postgres.py
+++ b/deckdrum/databases/postgres.py
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Credentials:
-    """How the product logs in to databases.
+    """Credentials with which the proxy logs in to databases.
 
-    `application` tells a database which proxy connects, and from where.
+    `application` is sent as ``application_name`` and identifies the proxy.
     """
 
     user: str
@@ -45,7 +45,7 @@
 
 
 class PostgresLink(DatabaseLink):
-    """One connection to a PostgreSQL database.
+    """Connection to a PostgreSQL database.
 
     Parameters
     ----------
@@ -61,15 +61,15 @@
         self._reader = FrameReader(stream, _MAX_MESSAGE_BYTES)
         self._cancel_request = b''
         self.prepared: set[bytes] = set()
-        #: Last reported value of each server parameter.
+        #: Latest ParameterStatus value of each server parameter.
         self.reported: dict[str, str] = {}
-        #: Transaction status after the last answer.
+        #: Transaction status from the last ReadyForQuery.
         self.status = ''
         self.settings: tuple[tuple[str, str], ...] = ()
 
     @property
     def is_usable(self) -> bool:
-        """Whether the connection is open and nothing unread has arrived."""
+        """Whether the connection is open and has no unread input."""
         return not self._reader.buffered_bytes and self._stream.is_quiet()
 
     async def start(
@@ -82,7 +82,7 @@
         Raises
         ------
         ConnectionError
-            If the database refuses.
+            If the database rejects the login.
         """
         startup = codec.StartupMessage(
             params={
@@ -101,14 +101,14 @@
             if frame.tag == tags.ERROR:
                 raise ConnectionRefusedError(_describe_error(frame))
             if frame.tag == tags.AUTHENTICATION:
-                await login.answer(frame)
+                await login.handle_message(frame)
             elif frame.tag == tags.BACKEND_KEY:
                 self._record_cancel_key(frame)
             elif frame.tag == tags.PARAMETER:
                 self._record_parameter(frame)
 
     async def send(self, payload: bytes) -> None:
-        """Send messages."""
+        """Send encoded protocol messages."""
         await self._stream.send(payload)
 
     async def read_frame(self) -> Frame:
@@ -119,16 +119,16 @@
         return frame
 
     def take_frame(self) -> Frame | None:
-        """Return a message that has already arrived, or None."""
+        """Return the next buffered message, or None."""
         return self._reader.take_frame()
 
     async def query(self, text: str) -> QueryResult:
-        """Run a simple query and return its whole answer."""
+        """Run a simple query and return its complete result."""
         await self.send(codec.Query(query_string=text).to_wire())
-        return await self.read_answer()
+        return await self.read_result()
 
-    async def read_answer(self) -> QueryResult:
-        """Return the whole answer to a query that was sent."""
+    async def read_result(self) -> QueryResult:
+        """Read the complete result of a query that was already sent."""
         rows: list[tuple[str | None, ...]] = []
         failure = QueryResult()
         while True:
@@ -151,7 +151,7 @@
         return failure if failure.sqlstate else QueryResult(rows)
 
     async def cancel(self) -> None:
-        """Ask the database to cancel what runs on this connection."""
+        """Request cancellation of the statement running on the connection."""
         try:
             stream = await dial(self._entry.endpoint, _CANCEL_TIMEOUT_S)
         except ConnectionError:
@@ -162,7 +162,7 @@
             await stream.close()
 
     async def close(self) -> None:
-        """Close the connection; a second call does nothing."""
+        """Close the connection; further calls have no effect."""
         await self._stream.close()
 
     def _record_parameter(self, frame: Frame) -> None:
@@ -178,7 +178,7 @@
 
 
 class _ScramExchange:
-    """The SCRAM exchange of one connection."""
+    """SCRAM authentication exchange of one connection."""
 
     def __init__(self, link: PostgresLink, credentials: Credentials) -> None:
         self._link = link
@@ -188,8 +188,8 @@
             credentials.password,
         )
 
-    async def answer(self, frame: Frame) -> None:
-        """Answer one authentication message."""
+    async def handle_message(self, frame: Frame) -> None:
+        """Respond to one authentication message."""
         message = decode_backend(frame, ConnectionPhase.AUTHENTICATING)
         try:
             await self._step(message)
@@ -220,15 +220,15 @@
 
     The state is read from the view ``deckdrum_state`` and changed by the
     functions ``deckdrum_fence``, ``deckdrum_promote`` and
-    ``deckdrum_follow``, which the operators' extension provides
+    ``deckdrum_follow``, which the operator installs as an extension
     (docs/databases.rst).
 
     Parameters
     ----------
     entry : DatabaseEntry
-        How the configuration declares it.
+        Its configuration entry.
     credentials : Credentials
-        How to log in.
+        Login credentials.
     """
 
     def __init__(self, entry: DatabaseEntry, credentials: Credentials) -> None:
@@ -237,11 +237,11 @@
 
     @property
     def state_request(self) -> bytes:
-        """Messages that ask for the state, to send behind a batch."""
+        """Encoded query for the state, to be pipelined after a batch."""
         return _STATE_REQUEST
 
     def decode_state(self, answer: QueryResult) -> DatabaseState | None:
-        """Return the state in an answer, or None if it is none."""
+        """Decode the state from a result; None if it has no state."""
         if answer.sqlstate or not answer.rows:
             return None
         role, *numbers, leaving = answer.rows[0]
@@ -257,12 +257,12 @@
             leaving in _TRUE_VALUES,
         )
 
-    async def connect(self, limit: float) -> DatabaseLink:
-        """Open a connection within `limit` seconds."""
-        stream = await dial(self.entry.endpoint, limit)
+    async def connect(self, timeout: float) -> DatabaseLink:
+        """Open a connection within `timeout` seconds."""
+        stream = await dial(self.entry.endpoint, timeout)
         link = PostgresLink(self.entry, stream)
         try:
-            async with curio.timeout_after(limit):
+            async with curio.timeout_after(timeout):
                 await link.start(self._credentials, {})
         except curio.TaskTimeout as error:
             await link.close()
@@ -272,26 +272,30 @@
             raise
         return link
 
-    async def read_state(self, link: DatabaseLink) -> DatabaseState:
-        """Ask the database for its state."""
-        state = await self._ask(link, _STATE_QUERY)
+    async def fetch_state(self, link: DatabaseLink) -> DatabaseState:
+        """Query the database for its state."""
+        state = await self._query_state(link, _STATE_QUERY)
         if state is None:
-            raise WireError(f'{self.name} does not tell its state')
+            raise WireError(f'{self.name} did not return its state')
         return state
 
     async def fence(
         self, link: DatabaseLink, term: int
     ) -> DatabaseState | None:
-        """Fence at `term`; return the state, or None if refused."""
-        return await self._ask(link, f'SELECT * FROM deckdrum_fence({term})')
+        """Fence the database at `term`; return its state, None if refused."""
+        return await self._query_state(
+            link, f'SELECT * FROM deckdrum_fence({term})'
+        )
 
     async def promote(
         self,
         link: DatabaseLink,
         term: int,
     ) -> DatabaseState | None:
-        """Make it the primary of `term`; None if refused."""
-        return await self._ask(link, f'SELECT * FROM deckdrum_promote({term})')
+        """Promote it to primary of `term`; return None if refused."""
+        return await self._query_state(
+            link, f'SELECT * FROM deckdrum_promote({term})'
+        )
 
     async def follow(
         self,
@@ -300,11 +304,13 @@
         term: int,
     ) -> DatabaseState | None:
         """Make it replicate from `primary` in `term`; None if refused."""
-        # The name matches the configuration's pattern: no quotes in it.
+        # Configuration validates names, so `primary` contains no quotes.
         call = f"SELECT * FROM deckdrum_follow('{primary}', {term})"
-        return await self._ask(link, call)
+        return await self._query_state(link, call)
 
-    async def _ask(self, link: DatabaseLink, text: str) -> DatabaseState | None:
+    async def _query_state(
+        self, link: DatabaseLink, text: str
+    ) -> DatabaseState | None:
         return self.decode_state(await link.query(text))
 
 
--- a/deckdrum/databases/watch.py
+++ b/deckdrum/databases/watch.py
@@ -1,7 +1,7 @@
-"""Watching the databases of one service by probes.
+"""State probes of the databases of one service.
 
-Each database has one task with one connection of its own.  A probe serves
-every request that waits for a fresh state: many waiters, one query.
+Each database is probed by its own task over a dedicated connection.  All
+requests waiting for a fresh state share one probe.
 """
 
 from collections.abc import AsyncIterator, Callable, Iterable
@@ -21,25 +21,24 @@
 )
 from deckdrum.sessions import Position
 
-#: Time between probes while nobody waits, in seconds.
+#: Probe interval while no request waits for a fresh state.
 IDLE_PROBE_INTERVAL_S: Final = 0.1
-#: The same for a standby, which only has to notice a loss.
+#: Probe interval on a standby, which only detects failures.
 STANDBY_PROBE_INTERVAL_S: Final = 0.3
-#: Longest wait for the answer to a probe, in seconds.
 STATE_PROBE_TIMEOUT_S: Final = 0.4
-#: Time between probes of a database that does not answer, in seconds.
+#: Probe interval of an unresponsive database.
 PROBE_RETRY_INTERVAL_S: Final = 0.1
-#: First and longest pause between probes that tell nothing new while a
-#: request waits, in seconds; doubled between.
+#: Exponential backoff between probes that return an unchanged state while a
+#: request is waiting.
 _MIN_PROBE_DELAY_S: Final = 0.0005
-_LONGEST_PAUSE: Final = 0.004
+_MAX_PROBE_DELAY_S: Final = 0.004
 _MAX_DOUBLINGS: Final = 10
 _Found = TypeVar('_Found')
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """A state and when its probe was sent, in kernel seconds."""
+    """A database state and the curio clock time when its probe was sent."""
 
     state: DatabaseState
     started_at: float
@@ -51,7 +50,7 @@
     Parameters
     ----------
     database : Database
-        What to probe.
+        The database.
     """
 
     def __init__(self, database: Database) -> None:
@@ -59,33 +58,33 @@
         self.sample: Sample | None = None
         self.failures = 0
         self.probes = 0
-        #: Probes in a row that told nothing new.
+        #: Consecutive probes that returned the same state.
         self.unchanged_probes = 0
-        #: Requests that wait for a fresh state.
+        #: Number of requests waiting for a fresh state.
         self.waiting_requests = 0
-        #: Set when a request begins to wait for a fresh state.
-        self.wanted = curio.Event()
+        #: Set when a request starts to wait for a fresh state.
+        self.probe_requested = curio.Event()
         self._first_probe_at: float = 0
         self._link: DatabaseLink | None = None
 
     @property
     def is_answering(self) -> bool:
-        """Whether the last probe was answered."""
+        """Whether the last probe succeeded."""
         return self.sample is not None and self.failures == 0
 
-    def is_silent(self, now: float, limit: float) -> bool:
-        """Tell whether the last `limit` seconds brought no answer."""
+    def is_unresponsive(self, now: float, timeout: float) -> bool:
+        """Whether probes have been failing for `timeout` seconds or more."""
         last = self.sample.started_at if self.sample else self._first_probe_at
-        return self.failures > 0 and now - last >= limit
+        return self.failures > 0 and now - last >= timeout
 
     async def probe(self) -> bool:
-        """Ask once; return whether an answer came."""
+        """Probe the database once; return whether it succeeded."""
         started_at = await curio.clock()
         self._first_probe_at = self._first_probe_at or started_at
         self.probes += 1
         try:
             async with curio.timeout_after(STATE_PROBE_TIMEOUT_S):
-                state = await self._ask()
+                state = await self._fetch_state()
         except (ConnectionError, curio.TaskTimeout):
             self.failures += 1
             await self.close()
@@ -97,28 +96,28 @@
         return True
 
     def compute_probe_delay(self, idle_interval: float) -> float:
-        """Return how long to rest before the next probe, in seconds."""
+        """Return the delay before the next probe, in seconds."""
         if not self.waiting_requests:
             return idle_interval
         if self.unchanged_probes == 0:
             return 0
         exponent = min(self.unchanged_probes, _MAX_DOUBLINGS)
-        return min(_MIN_PROBE_DELAY_S * float(2**exponent), _LONGEST_PAUSE)
+        return min(_MIN_PROBE_DELAY_S * float(2**exponent), _MAX_PROBE_DELAY_S)
 
     async def close(self) -> None:
-        """Close the probe's connection."""
+        """Close the probe connection."""
         if self._link is not None:
             await self._link.close()
             self._link = None
 
-    async def _ask(self) -> DatabaseState:
+    async def _fetch_state(self) -> DatabaseState:
         if self._link is None:
             self._link = await self.database.connect(STATE_PROBE_TIMEOUT_S)
-        return await self.database.read_state(self._link)
+        return await self.database.fetch_state(self._link)
 
 
 class ServiceWatch:
-    """Watches every database of one service.
+    """Probes all databases of one service.
 
     Parameters
     ----------
@@ -131,7 +130,7 @@
         self.history = History()
         self.term = 0
         self.primary = ''
-        #: Time between probes while nobody waits, in seconds.
+        #: Probe interval while no request is waiting, in seconds.
         self.idle_interval = IDLE_PROBE_INTERVAL_S
         self._changed = curio.Condition()
         self._unconfirmed_sample: Sample | None = None
@@ -139,7 +138,7 @@
 
     @property
     def last_probe(self) -> float:
-        """Start of the latest answered probe, in kernel seconds."""
+        """Start time of the latest successful probe, on the curio clock."""
         samples = [each.sample for each in self.watchers.values()]
         return max(
             (sample.started_at for sample in samples if sample is not None),
@@ -148,58 +147,58 @@
 
     @property
     def majority(self) -> int:
-        """How many databases make a majority."""
+        """Number of databases that form a majority."""
         return len(self.watchers) // 2 + 1
 
-    def adopt(self, term: int, primary: str) -> None:
-        """Take over the agreed term and primary."""
+    def apply_leadership(self, term: int, primary: str) -> None:
+        """Set the term and primary that the group record names."""
         if term != self.term:
             self._unconfirmed_sample = None
         self.term = term
         self.primary = primary
 
     async def start(self) -> None:
-        """Begin to probe."""
+        """Start probing."""
         for watcher in self.watchers.values():
             task = await curio.spawn(self._run, watcher, daemon=True)
             self._tasks.append(task)
 
     async def close(self) -> None:
-        """Stop to probe."""
+        """Stop probing and close the probe connections."""
         for task in self._tasks:
             await task.cancel()
         for watcher in self.watchers.values():
             await watcher.close()
 
-    def read_state(self, name: str) -> DatabaseState | None:
-        """Return the last state of a database that answers, or None."""
+    def get_state(self, name: str) -> DatabaseState | None:
+        """Return the latest state; None if the last probe failed."""
         watcher = self.watchers.get(name)
         if watcher is None or not watcher.is_answering:
             return None
         return watcher.sample.state if watcher.sample else None
 
-    def can_reach_majority(self, now: float, limit: float) -> bool:
-        """Tell whether a majority has answered within `limit` seconds."""
-        silent = [
+    def can_reach_majority(self, now: float, timeout: float) -> bool:
+        """Whether a majority answered probes within `timeout` seconds."""
+        unresponsive = [
             watcher
             for watcher in self.watchers.values()
-            if watcher.is_silent(now, limit)
+            if watcher.is_unresponsive(now, timeout)
         ]
-        return len(self.watchers) - len(silent) >= self.majority
+        return len(self.watchers) - len(unresponsive) >= self.majority
 
-    async def wait_for(
+    async def probe_until(
         self,
         check: Callable[[], _Found | None],
-        limit: float,
+        timeout: float,
         names: Iterable[str] | None = None,
     ) -> _Found | None:
-        """Probe without pause until `check` gives something.
+        """Probe continuously until `check` returns a result.
 
         Parameters
         ----------
         check : callable
-            Looks at the samples; called after each probe.
-        limit : float
+            Called after each probe; returns None to continue.
+        timeout : float
             Longest wait in seconds.
         names : iterable of str, optional
             Databases to probe; all by default.
@@ -207,36 +206,36 @@
         Returns
         -------
         object or None
-            What `check` gave, or None after `limit`.
+            The result of `check`, or None after `timeout`.
         """
         async with self._request_probes(names or self.watchers):
-            async with curio.ignore_after(limit):
+            async with curio.ignore_after(timeout):
                 return await self._wait_until_found(check)
         return None
 
-    async def confirm(self, limit: float) -> Position | None:
-        """Return a position that a majority holds, fetched from now on.
+    async def confirm(self, timeout: float) -> Position | None:
+        """Return a log position that a majority has made durable.
 
-        The primary's position is read after the call, so it covers every
-        change that the primary has answered before; then a majority must
-        report, also after the call, that it holds this position in the
-        agreed term.  A cut-off or replaced primary gets no majority.
+        Only probes sent after the call count.  The position is the primary's,
+        so it includes every change that the primary answered before the call.
+        A majority must then report that it holds this position in the current
+        term, which fails for a partitioned or replaced primary.
 
         Returns
         -------
         Position or None
-            None if no majority reported within `limit` seconds.
+            None if the term changed, or no majority reported in time.
         """
-        began = await curio.clock()
-        confirmation = _MajorityCheck(self, began)
-        verdict = await self.wait_for(confirmation.check, limit)
-        return None if verdict is None else verdict.position
+        started_at = await curio.clock()
+        majority_check = _MajorityCheck(self, started_at)
+        outcome = await self.probe_until(majority_check.check, timeout)
+        return None if outcome is None else outcome.position
 
-    async def fetch_applied(self, name: str, limit: float) -> Position | None:
-        """Return how far a database has applied, fetched from now on."""
-        began = await curio.clock()
-        check = partial(_find_applied_position, self.watchers[name], began)
-        return await self.wait_for(check, limit, (name,))
+    async def fetch_applied(self, name: str, timeout: float) -> Position | None:
+        """Return the applied position from a probe sent after the call."""
+        started_at = await curio.clock()
+        check = partial(_find_applied_position, self.watchers[name], started_at)
+        return await self.probe_until(check, timeout, (name,))
 
     async def _wait_until_found(
         self,
@@ -256,7 +255,7 @@
         watchers = [self.watchers[name] for name in names]
         for watcher in watchers:
             watcher.waiting_requests += 1
-            await watcher.wanted.set()
+            await watcher.probe_requested.set()
         try:
             yield
         finally:
@@ -265,9 +264,9 @@
 
     async def _run(self, watcher: Watcher) -> None:
         while True:
-            watcher.wanted.clear()
+            watcher.probe_requested.clear()
             is_answered = await watcher.probe()
-            self._note(watcher)
+            self._record_position(watcher)
             async with self._changed:
                 await self._changed.notify_all()
             if not is_answered:
@@ -276,10 +275,10 @@
             async with curio.ignore_after(
                 watcher.compute_probe_delay(self.idle_interval)
             ):
-                await watcher.wanted.wait()
+                await watcher.probe_requested.wait()
 
-    def _note(self, watcher: Watcher) -> None:
-        """Extend the history once a majority backs a probe of the primary."""
+    def _record_position(self, watcher: Watcher) -> None:
+        """Record a position of the primary once a majority is in its term."""
         if (
             self._unconfirmed_sample is None
             and watcher.database.name == self.primary
@@ -290,19 +289,19 @@
         candidate = self._unconfirmed_sample
         if candidate is None:
             return
-        backing = [
+        in_term = [
             each
             for each in self.watchers.values()
             if was_in_term_since(each.sample, self.term, candidate.started_at)
         ]
-        if len(backing) >= self.majority:
+        if len(in_term) >= self.majority:
             self._unconfirmed_sample = None
             offset = candidate.state.received
             self.history.note(self.term, offset, candidate.started_at)
 
 
 def was_in_term_since(sample: Sample | None, term: int, since: float) -> bool:
-    """Tell whether a database took part in `term` at `since` or later."""
+    """Whether the sample is from `since` or later and in `term`."""
     if sample is None or sample.started_at < since:
         return False
     return sample.state.is_in_term(term)
@@ -316,28 +315,28 @@
 
 
 class _MajorityCheck:
-    """One wait for a majority."""
+    """Checks for a majority that holds the primary's position."""
 
-    def __init__(self, watch: ServiceWatch, began: float) -> None:
+    def __init__(self, watch: ServiceWatch, started_at: float) -> None:
         self._watch = watch
-        self._began = began
+        self._started_at = started_at
         self._term = watch.term
         self._target: int | None = None
 
     def check(self) -> _ConfirmationResult | None:
-        """Return the verdict once there is one."""
+        """Return the result, or None while it is undecided."""
         if self._watch.term != self._term:
             return _ConfirmationResult(None)
         if self._target is None:
             self._target = self._find_target()
         if self._target is None:
             return None
-        votes = [
+        holders = [
             watcher
             for watcher in self._watch.watchers.values()
             if self._holds_target(watcher.sample, self._target)
         ]
-        if len(votes) < self._watch.majority:
+        if len(holders) < self._watch.majority:
             return None
         return _ConfirmationResult(Position(self._term, self._target))
 
@@ -345,14 +344,14 @@
         watcher = self._watch.watchers.get(self._watch.primary)
         if watcher is None:
             return None
-        leading = _find_primary_sample(watcher.sample, self._term)
-        if leading is None or leading.started_at < self._began:
+        sample = _find_primary_sample(watcher.sample, self._term)
+        if sample is None or sample.started_at < self._started_at:
             return None
-        return leading.state.received
+        return sample.state.received
 
     def _holds_target(self, sample: Sample | None, target: int) -> bool:
         if sample is None or not was_in_term_since(
-            sample, self._term, self._began
+            sample, self._term, self._started_at
         ):
             return False
         return sample.state.received >= target
--- a/deckdrum/failover/__init__.py
+++ b/deckdrum/failover/__init__.py
@@ -1,4 +1,4 @@
-"""Replacing a lost primary."""
+"""Failover: replacing a failed primary."""
 
 from deckdrum.failover.driver import FailoverDriver, FailoverReport
 
--- a/deckdrum/failover/driver.py
+++ b/deckdrum/failover/driver.py
@@ -1,14 +1,14 @@
-"""The steps of a failover, each of which may be taken twice.
+"""Failover of one service, in idempotent steps.
 
-1. *claim*: a conditional update of the group's record moves it to the next
-   term; one driver wins.
-2. *fence*: a majority of the databases refuses all earlier terms.
-3. *promote*: the furthest of the fenced databases leads the new term.  A
-   confirmed change lies on a majority, two majorities meet, so it has it.
-4. *settle*: the record names the new primary.
+1. *claim*: a conditional update of the group record advances it to the next
+   term; only one driver succeeds.
+2. *fence*: a majority of the databases rejects all earlier terms.
+3. *promote*: the fenced database with the most advanced log becomes primary.
+   Any two majorities intersect, so it holds every confirmed change.
+4. *settle*: the group record is updated to name the new primary.
 
-A driver that dies leaves a record in the fencing phase; another claims the
-next term and begins again.
+If a driver crashes, the record stays in the fencing phase until another
+driver claims the next term and starts over.
 """
 
 import uuid
@@ -26,26 +26,24 @@
 from deckdrum.store.view import StoreView, VersionedRecord
 from deckdrum.utils import Journal
 
-#: Longest wait for one step on one database, in seconds.
+#: For one step on one database.
 STEP_TIMEOUT_S: Final = 0.5
-#: Pause before a step is tried again, in seconds.
 STEP_RETRY_DELAY_S: Final = 0.1
-#: Tries to promote before the failover begins again with another majority.
+#: Promotion attempts before the failover restarts with a new majority.
 MAX_PROMOTION_ATTEMPTS: Final = 4
-#: Bits of an operation id.
 _OPERATION_BITS: Final = 128
-#: Longest wait for a successor to catch up, in seconds.
+#: Longest wait for a successor to catch up with a leaving primary.
 HANDOVER_TIMEOUT_S: Final = 2.0
 _HANDOVER_POLL_INTERVAL_S: Final = 0.01
-#: Longest time that one driver tries, in seconds; then another may.
+#: After this time the driver gives up, and another may take over.
 FAILOVER_TIMEOUT_S: Final = 8.0
 
 
 @dataclass(slots=True)
 class FailoverReport:
-    """When each phase of a failover ended, in kernel seconds.
+    """End time of each phase of a failover, on the curio clock.
 
-    `excluded` names a database that must not lead next, if any.
+    `excluded` names the database that must not be promoted, if any.
     """
 
     service: str
@@ -60,44 +58,45 @@
 
 @dataclass(frozen=True, slots=True)
 class FencedDatabase:
-    """A database that accepted the fence, and its state."""
+    """A database that was fenced, with the state that it returned."""
 
     database: Database
     state: DatabaseState
 
     @property
     def log_position(self) -> tuple[int, int]:
-        """How far the log reaches: its last term and offset."""
+        """Term and offset of the end of its log."""
         return (self.state.term, self.state.received)
 
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """How a primary that still answers gives way.
+    """Parameters of a planned primary change.
 
-    `is_successor_ready` tells whether a database that is to stay has received
-    the log up to an offset; `unwanted` are the names of those that leave.
+    `is_successor_ready` tells whether a database that is not being removed
+    has received the log up to an offset; `leaving_names` are the databases
+    that are being removed.
     """
 
     is_successor_ready: Callable[[int], bool]
-    unwanted: frozenset[str]
+    leaving_names: frozenset[str]
 
 
 class FailoverDriver:
-    """Drives the failover of one service.
+    """Runs the failover of one service.
 
     Parameters
     ----------
     databases : mapping of str to Database
-        The service's databases.
+        The service's databases, by name.
     view : StoreView
-        The platform's records.
+        The platform's group records.
     proxy : str
-        Name of this proxy, written into the record.
+        Name of this proxy, stored in the record as its driver.
     journal : Journal
-        For changes of state.
+        Event log.
     randomness : random.Random
-        Source of operation ids.
+        Random generator for operation ids.
     """
 
     def __init__(
@@ -116,79 +115,80 @@
 
     async def run_failover(
         self,
-        held: VersionedRecord,
+        current: VersionedRecord,
         report: FailoverReport,
         handover: Handover | None = None,
     ) -> bool:
-        """Replace the primary of `held`.
+        """Replace the primary of `current`.
 
         Parameters
         ----------
-        held : HeldRecord
-            The record as it is known.
+        current : VersionedRecord
+            The latest known group record.
         report : FailoverReport
-            Filled with the times of the phases.
+            Receives the end times of the phases.
         handover : Handover, optional
-            For a primary that still answers and must leave.
+            Given if the primary is still running but is being removed.
 
         Returns
         -------
         bool
-            Whether this driver settled the record; False if another driver
-            was first, the platform is out or no majority can be fenced.
+            Whether this driver settled the record.  False if another driver
+            claimed a term first, the platform is unreachable, no majority
+            could be fenced or the promotion failed.
         """
         async with curio.ignore_after(FAILOVER_TIMEOUT_S):
             try:
-                return await self._drive(held, report, handover)
+                return await self._drive(current, report, handover)
             except StoreError as error:
                 self._journal.record('failover.no_platform', reason=str(error))
         return False
 
     async def _drive(
         self,
-        held: VersionedRecord,
+        current: VersionedRecord,
         report: FailoverReport,
         handover: Handover | None,
     ) -> bool:
-        claim = await self._claim(held, report)
+        claim = await self._claim(current, report)
         if claim is None:
             return False
         if handover is not None:
             await self._hand_over(handover, report)
-        unwanted = handover.unwanted if handover else frozenset()
-        fenced = await self._fence_majority(report, unwanted)
+        leaving_names = handover.leaving_names if handover else frozenset()
+        fenced = await self._fence_majority(report, leaving_names)
         report.phases['fence'] = await curio.clock()
-        leader = choose_promotion_candidate(fenced, unwanted)
-        chosen = await self._promote(leader, report.term)
-        if chosen is None:
+        candidate = choose_promotion_candidate(fenced, leaving_names)
+        primary = await self._promote(candidate, report.term)
+        if primary is None:
             return False
-        report.promoted = chosen.name
+        report.promoted = primary.name
         report.phases['promote'] = await curio.clock()
-        await self._repoint_replicas(chosen.name, report.term)
-        is_settled = await self._settle(claim, chosen.name)
+        await self._repoint_replicas(primary.name, report.term)
+        is_settled = await self._settle(claim, primary.name)
         report.phases['settle'] = await curio.clock()
         self._journal.record(
             'failover.settled' if is_settled else 'failover.overtaken',
             service=report.service,
             term=report.term,
-            primary=chosen.name,
+            primary=primary.name,
         )
         return is_settled
 
     async def _claim(
         self,
-        held: VersionedRecord,
+        current: VersionedRecord,
         report: FailoverReport,
     ) -> VersionedRecord | None:
         record = GroupRecord(
             service=report.service,
-            term=held.record.term + 1,
-            primary=held.record.primary,
+            term=current.record.term + 1,
+            primary=current.record.primary,
             phase=Phase.FENCING,
             operation=self._make_operation(),
             driver=self._proxy,
         )
-        if not await self._view.put_record(record, held.version):
+        if not await self._view.put_record(record, current.version):
             return None
         report.term = record.term
         report.phases['claim'] = await curio.clock()
@@ -205,13 +205,13 @@
         handover: Handover,
         report: FailoverReport,
     ) -> None:
-        """Stop the old primary and let a successor catch up with it.
+        """Fence the old primary and wait until a successor has caught up.
 
-        A fenced primary takes no writes but still sends its log, so that a
-        database that is to stay reaches its end before it is fenced too.
+        A fenced primary rejects writes but still streams its log, so that a
+        remaining database can receive all of it before being fenced too.
         """
-        old = self._databases[report.lost]
-        state = await _run_step(old, 'fence', report.term)
+        old_primary = self._databases[report.lost]
+        state = await _run_step(old_primary, 'fence', report.term)
         if state is None:
             return
         end = state.received
@@ -223,15 +223,15 @@
     async def _fence_majority(
         self,
         report: FailoverReport,
-        unwanted: frozenset[str],
+        leaving_names: frozenset[str],
     ) -> list[FencedDatabase]:
-        """Fence until a majority has accepted, without the excluded one.
+        """Retry until a majority is fenced, skipping the excluded database.
 
-        One round waits for a database that is to stay, so that a planned
-        change of primary does not end where it began.
+        Each round also waits for a database that is not being removed, so
+        that a planned primary change does not promote a leaving one again.
         """
         majority = len(self._databases) // 2 + 1
-        asked = [
+        candidates = [
             database
             for name, database in self._databases.items()
             if name != report.excluded
@@ -239,15 +239,15 @@
         fenced: dict[str, FencedDatabase] = {}
         while len(fenced) < majority:
             async with curio.TaskGroup() as tasks:
-                for database in asked:
+                for database in candidates:
                     await tasks.spawn(_fence, database, report.term)
-                await _collect_fenced(tasks, fenced, majority, unwanted)
+                await _collect_fenced(tasks, fenced, majority, leaving_names)
             if len(fenced) < majority:
                 await curio.sleep(STEP_RETRY_DELAY_S)
         return list(fenced.values())
 
     async def _repoint_replicas(self, primary: str, term: int) -> None:
-        """Have the others follow at once: a majority needs one of them."""
+        """Repoint the replicas; no change is confirmed without them."""
         for database in self._databases.values():
             if database.name != primary:
                 await curio.spawn(
@@ -260,14 +260,14 @@
 
     async def _promote(
         self,
-        leader: FencedDatabase,
+        candidate: FencedDatabase,
         term: int,
     ) -> Database | None:
-        """Promote a database; asking it twice does no harm."""
+        """Promote a database, with retries; promotion is idempotent."""
         for _ in range(MAX_PROMOTION_ATTEMPTS):
-            state = await _run_step(leader.database, 'promote', term)
+            state = await _run_step(candidate.database, 'promote', term)
             if state is not None:
-                return leader.database
+                return candidate.database
             await curio.sleep(STEP_RETRY_DELAY_S)
         return None
 
@@ -289,20 +289,23 @@
 
 
 def choose_promotion_candidate(
-    fenced: Iterable[FencedDatabase], unwanted: Container[str]
+    fenced: Iterable[FencedDatabase], leaving_names: Container[str]
 ) -> FencedDatabase:
-    """Return the database to promote: the furthest, wanted if possible.
+    """Return the database to promote.
 
-    Only a furthest one may lead: a lesser one could lack a confirmed change
-    that the furthest alone among the fenced holds.
+    It must have the most advanced log, since a shorter log could lack a
+    confirmed change.  Among equals, databases that are not being removed are
+    preferred.
     """
-    known = list(fenced)
-    log_position = max(each.log_position for each in known)
-    furthest = [each for each in known if each.log_position == log_position]
+    candidates = list(fenced)
+    log_position = max(each.log_position for each in candidates)
+    furthest = [
+        each for each in candidates if each.log_position == log_position
+    ]
     return min(
         furthest,
         key=lambda each: (
-            each.state.leaving or each.database.name in unwanted,
+            each.state.leaving or each.database.name in leaving_names,
             each.database.name,
         ),
     )
@@ -312,13 +315,13 @@
     tasks: Any,
     fenced: dict[str, FencedDatabase],
     majority: int,
-    unwanted: frozenset[str],
+    leaving_names: frozenset[str],
 ) -> None:
-    """Collect fenced databases until they are enough."""
+    """Collect fenced databases until they form a usable majority."""
     async for task in tasks:
         if isinstance(task.result, FencedDatabase):
             fenced[task.result.database.name] = task.result
-        if len(fenced) >= majority and fenced.keys() - unwanted:
+        if len(fenced) >= majority and fenced.keys() - leaving_names:
             await tasks.cancel_remaining()
             return
 
@@ -335,7 +338,7 @@
     step: str,
     term: int,
 ) -> DatabaseState | None:
-    """Take one step on a database over a connection of its own."""
+    """Run one step on a database over a dedicated connection."""
     link: Any = None
     try:
         async with curio.timeout_after(STEP_TIMEOUT_S):
@@ -357,7 +360,7 @@
     primary: str,
     term: int,
 ) -> bool:
-    """Have a database replicate from `primary`; tell whether it does."""
+    """Make a database replicate from `primary`; return whether it does."""
     link: Any = None
     try:
         async with curio.timeout_after(STEP_TIMEOUT_S):
--- a/deckdrum/keepers/__init__.py
+++ b/deckdrum/keepers/__init__.py
@@ -1,4 +1,4 @@
-"""Keepers: one proxy holds the connections of a service for the fleet."""
+"""Keepers: the proxy that runs the batches of a service for the fleet."""
 
 from deckdrum.keepers.access import Access
 
--- a/deckdrum/keepers/access.py
+++ b/deckdrum/keepers/access.py
@@ -1,14 +1,15 @@
-"""What a batch needs of the database that runs it."""
+"""Consistency that a batch requires of its database."""
 
 from enum import StrEnum
 
 
 class Access(StrEnum):
-    """How a batch may be routed."""
+    """Access mode of a batch, which decides how it may be routed."""
 
-    #: Runs on the primary and is confirmed by a majority.
+    #: Runs on the primary; confirmed by a majority.
     WRITE = 'write'
-    #: Sees every change acknowledged before it began.
+    #: Reads every change that was acknowledged before the batch started.
     CURRENT = 'current'
-    #: May see data of a declared age, but never less than the session saw.
+    #: May read stale data up to a maximum age, but never older than what the
+    #: session has already seen.
     BOUNDED_STALENESS = 'aged'
--- a/deckdrum/keepers/core.py
+++ b/deckdrum/keepers/core.py
@@ -1,8 +1,9 @@
-"""The keeper of one service: connections, watching and failover.
+"""Keeper of one service: connection pools, health probes and failover.
 
-Any proxy may be the keeper of any service.  Two keepers at a time are safe:
-each answer is confirmed by a majority of the databases, and the databases
-bound their connections.  Having one makes the shares hold for the fleet.
+A keeper is the proxy that runs a service's batches for the whole fleet.  Any
+proxy can be the keeper of any service.  Two keepers at the same time are safe
+because a majority of the databases confirms each answer and each database
+limits its connections; with a single one, shares are enforced fleet-wide.
 """
 
 from collections import deque
@@ -38,20 +39,19 @@
 
 #: Decisions kept for ``deckdrumctl explain``.
 _MAX_DECISIONS: Final = 500
-#: Silence of a database after which its requests are given up, in seconds.
+#: A running batch is abandoned if its database is unresponsive for this long.
 ROUTE_LOST_AFTER_S: Final = 3.0
-#: Silence of most databases after which another keeper is better, in seconds.
+#: A keeper rejects batches without contact to a majority for this long.
 MAJORITY_LOST_AFTER_S: Final = 1.0
-#: Databases up to which a replica and its primary make a majority.
+#: Largest group in which a replica and the primary form a majority.
 _MAX_DATABASES_FOR_PAIR_MAJORITY: Final = 3
-#: Pause between two looks at the pools, in seconds.
 _WARM_UP_INTERVAL_S: Final = 0.05
 _DEFAULT_IDLE_TIMEOUT_S: Final = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """Why a request went where it went, or was refused."""
+    """Routing decision or refusal of one batch."""
 
     at: float
     group: str
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KeeperContext:
-    """What a keeper needs of its proxy.
+    """Dependencies of a keeper, provided by its proxy.
 
-    `ask_peers` asks proxies of other data centres whether they reach a
-    database; it returns None if no peer answered.
+    `ask_peers` takes a service and a database, and asks proxies in other data
+    centres whether they can reach it; it returns None if no peer answered.
     """
 
     proxy: str
@@ -79,16 +79,16 @@
 
 
 class Keeper:
-    """Keeps one service.
+    """Runs the batches of one service on its databases.
 
     Parameters
     ----------
     service : Service
-        The declared service.
+        The service's configuration.
     document : Document
-        The configuration, for the groups' shares.
-    around : Surroundings
-        What the proxy provides.
+        The whole configuration, which defines the groups' shares.
+    around : KeeperContext
+        Dependencies provided by the proxy.
     """
 
     def __init__(
@@ -118,9 +118,9 @@
         )
         self.decisions: deque[Decision] = deque(maxlen=_MAX_DECISIONS)
         self.is_draining = False
-        #: Until when this proxy leaves the service to others.
+        #: Time until which this proxy rejects the service's batches.
         self.unavailable_until: float = 0
-        #: Whether a caller has ever used the service here.
+        #: Whether any caller has opened a channel.
         self.has_served_callers = False
         self.supervisor = Supervisor(self)
         self._sessions: dict[str, KeeperSession] = {}
@@ -133,18 +133,18 @@
 
     @property
     def pinned(self) -> int:
-        """Number of channels that hold a connection."""
+        """Number of channels with an open transaction."""
         return sum(each.is_pinned for each in self._sessions.values())
 
     async def start(self) -> None:
-        """Begin to watch the databases."""
-        self.adopt_record()
+        """Start the probes, the supervisor and the pool warm-up."""
+        self.apply_group_record()
         await self.watch.start()
         for run in (self.supervisor.run, self._run_warm_up):
             self._tasks.append(await curio.spawn(run, daemon=True))
 
     async def close(self) -> None:
-        """Stop, and close every connection."""
+        """Stop all tasks and close idle connections."""
         for task in self._tasks:
             await task.cancel()
         await self.watch.close()
@@ -152,12 +152,12 @@
             await pool.close_idle()
 
     async def reconfigure(self, service: Service, document: Document) -> bool:
-        """Take over a new configuration.
+        """Apply a new configuration.
 
         Returns
         -------
         bool
-            False if the databases changed: a new keeper is needed.
+            False if the databases changed, which requires a new keeper.
         """
         if service.databases != self.service.databases:
             return False
@@ -171,10 +171,10 @@
         return True
 
     def set_standby(self, is_standby: bool) -> None:
-        """Probe seldom while another proxy keeps the service."""
-        is_quiet = is_standby and not self._sessions
+        """Reduce the probe rate while another proxy is the keeper."""
+        is_inactive = is_standby and not self._sessions
         interval = (
-            STANDBY_PROBE_INTERVAL_S if is_quiet else IDLE_PROBE_INTERVAL_S
+            STANDBY_PROBE_INTERVAL_S if is_inactive else IDLE_PROBE_INTERVAL_S
         )
         self.watch.idle_interval = interval
 
@@ -193,42 +193,44 @@
             self._sessions.pop(opened.channel, None)
 
     async def cancel(self, channel: str) -> bool:
-        """Cancel what runs on a channel; tell whether it is known."""
+        """Cancel the statement on a channel; return whether it is open."""
         session = self._sessions.get(channel)
         if session is None:
             return False
         await session.cancel()
         return True
 
-    def adopt_record(self) -> None:
-        """Take over the agreed term and primary."""
-        held = self.around.view.records.get(self.service.name)
-        if held is None:
+    def apply_group_record(self) -> None:
+        """Apply the term and, once settled, the primary of the record."""
+        current = self.around.view.records.get(self.service.name)
+        if current is None:
             return
-        record = held.record
+        record = current.record
         is_settled = record.phase is Phase.SETTLED
-        self.watch.adopt(record.term, record.primary if is_settled else '')
+        self.watch.apply_leadership(
+            record.term, record.primary if is_settled else ''
+        )
 
-    async def has_lost(self, route: Route, *, is_heard: bool) -> bool:
-        """Tell whether a batch on `route` waits in vain for its answer.
+    async def is_route_lost(self, route: Route, *, is_receiving: bool) -> bool:
+        """Whether a batch on `route` can no longer expect an answer.
 
-        The group has moved to another term, or the database has been silent
-        so long that its link must be gone.  One that `is_heard`, since its
-        answer goes on to arrive, is alive although it answers no probe.
+        This is so if the group is in another term or the database has been
+        unresponsive for `ROUTE_LOST_AFTER_S`.  If answer data is still
+        arriving (`is_receiving`), unanswered probes are ignored.
         """
-        self.adopt_record()
+        self.apply_group_record()
         if self.watch.term != route.term:
             return True
-        if is_heard:
+        if is_receiving:
             return False
         watcher = self.watch.watchers[route.pool.database.name]
-        return watcher.is_silent(await curio.clock(), ROUTE_LOST_AFTER_S)
+        return watcher.is_unresponsive(await curio.clock(), ROUTE_LOST_AFTER_S)
 
     async def can_accept_batches(self) -> bool:
-        """Tell whether this proxy should take work for the service.
+        """Whether this proxy should run batches of the service.
 
-        A proxy with a bad link to the primary, or cut off from most of the
-        databases, leaves the service to the next keeper.
+        A proxy that is draining, or that cannot reach the primary or a
+        majority of the databases, leaves the service to the next keeper.
         """
         now = await curio.clock()
         if self.is_draining or now < self.unavailable_until:
@@ -236,7 +238,7 @@
         return self.watch.can_reach_majority(now, MAJORITY_LOST_AFTER_S)
 
     def get_idle_timeout(self, group: str) -> float:
-        """Return how long a transaction of `group` may pause, in seconds."""
+        """Return the idle transaction timeout of `group`, in seconds."""
         declared = self._document.find_group(group)
         if declared is None:
             return _DEFAULT_IDLE_TIMEOUT_S
@@ -247,30 +249,31 @@
         route: Route,
         trailer: QueryResult | None,
     ) -> Position | None:
-        """Return a position that covers what a replica has just shown.
+        """Return a position that includes everything a replica read returned.
 
-        `trailer` is the replica's state as sent behind the read, if it was.
+        `trailer` is the result of the state query pipelined after the read,
+        if there was one.
 
-        With up to three databases a replica and its primary are a majority;
-        in larger groups a majority must confirm what the replica showed.
+        With up to three databases, a replica and the primary form a majority.
+        In larger groups a majority must confirm what the replica returned.
         """
         limit = self.service.confirm_limit
         database = route.pool.database
         state = database.decode_state(trailer) if trailer else None
         if state is None:
-            seen = await self.watch.fetch_applied(database.name, limit)
+            read_position = await self.watch.fetch_applied(database.name, limit)
         else:
-            seen = Position(state.term, state.applied)
+            read_position = Position(state.term, state.applied)
         if (
-            seen is None
+            read_position is None
             or len(self.databases) <= _MAX_DATABASES_FOR_PAIR_MAJORITY
         ):
-            return seen
+            return read_position
         confirmed = await self.watch.confirm(limit)
-        return None if confirmed is None else max(seen, confirmed)
+        return None if confirmed is None else max(read_position, confirmed)
 
     def record_answered_batch(self, group: str, route: Route) -> None:
-        """Count and remember an answered batch."""
+        """Record the decision and metrics of an answered batch."""
         target = 'primary' if route.is_primary else 'replica'
         self.around.metrics.count_batch(
             self.service.name,
@@ -290,7 +293,7 @@
         )
 
     def record_refused_batch(self, group: str, refusal: Refusal) -> None:
-        """Count and remember a refused batch."""
+        """Record the decision and metrics of a refused batch."""
         self.around.metrics.count_batch(
             self.service.name,
             group,
@@ -309,11 +312,11 @@
         )
 
     def count(self, event: str) -> None:
-        """Count an event."""
+        """Increment the counter of `event`."""
         self.around.metrics.count(event)
 
     async def _run_warm_up(self) -> None:
-        """Keep a few connections open while callers use the service."""
+        """Keep some connections open once callers use the service."""
         while True:
             if self.has_served_callers:
                 await self._warm_pools()
@@ -321,7 +324,7 @@
 
     async def _warm_pools(self) -> None:
         for name, pool in self.pools.items():
-            if self.watch.read_state(name) is not None:
+            if self.watch.get_state(name) is not None:
                 await pool.warm()
 
     def _get_pool_size(self, database: Database) -> int:
--- a/deckdrum/keepers/relay.py
+++ b/deckdrum/keepers/relay.py
@@ -1,8 +1,8 @@
 """Running one batch on one connection and relaying its answer.
 
-The answer is relayed as bytes while it arrives.  From the first message that
-ends a command on, it is held back, so that nothing is acknowledged before
-the keeper has confirmed it.
+Answer bytes are streamed to the caller up to the first message that completes
+a command.  From there on they are held back until the keeper has confirmed the
+batch, so that no unconfirmed change is acknowledged.
 """
 
 from collections.abc import Awaitable, Callable
@@ -16,9 +16,9 @@
 from deckdrum.wire import Frame, WireError, tags
 from deckdrum.wire.messages import decode_backend
 
-#: Answer bytes gathered before they are passed on.
+#: Answer bytes buffered before they are relayed.
 _CHUNK_BYTES: Final = 32768
-#: Answer bytes of a change that are held back at most.
+#: Largest held-back part of the answer to a change.
 MAX_HELD_BYTES: Final = 4_000_000
 _COMMAND_END_TAGS: Final = frozenset(
     (
@@ -36,8 +36,8 @@
         tags.CLOSE_COMPLETE,
     )
 )
-#: SQLSTATEs by which a database says that it did not run the request:
-#: read only, shutting down, starting up, too many connections.
+#: Read-only transaction, admin shutdown, crash shutdown, cannot connect now,
+#: too many connections: the database did not execute the request.
 _NOT_EXECUTED_SQLSTATES: Final = frozenset(
     (
         '25006',
@@ -52,25 +52,25 @@
 
 
 class AnswerTooLargeError(Exception):
-    """The answer of a change outgrew `MAX_HELD_BYTES`."""
+    """The held-back answer to a change exceeded `MAX_HELD_BYTES`."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayResult:
-    """How a batch ended on its connection.
+    """Outcome of a batch on its connection.
 
     Attributes
     ----------
     status : str
         Transaction status, or empty after Flush.
     held : bytes
-        The answer's end, still to be passed on.
+        Held-back end of the answer, still to be relayed.
     rejected : str
-        SQLSTATE, if the database ran nothing and nothing was passed on.
+        SQLSTATE, if the database executed nothing and nothing was relayed.
     failed : bool
         Whether the database reported an error.
-    trailer : QueryAnswer or None
-        Answer to the request that was sent behind the batch.
+    trailer : QueryResult or None
+        Result of the query that was pipelined after the batch.
     """
 
     status: str
@@ -88,12 +88,11 @@
     link : DatabaseLink
         The connection.
     batch : RunBatch
-        What to run.
+        The batch.
     sink : callable
-        Coroutine function that passes answer bytes on.
+        Coroutine function that receives the answer bytes.
     trailer : bytes
-        A query of the keeper's own to send behind the batch: its answer
-        comes with the batch's, without a round trip of its own.
+        Encoded query to pipeline after the batch, which saves a round trip.
     """
 
     def __init__(
@@ -111,11 +110,11 @@
         self._held = bytearray()
         self._is_holding = False
         self._sqlstate = ''
-        #: Frames received from the database.
+        #: Number of frames received from the database.
         self.frames = 0
         #: Whether any byte of the batch was sent.
         self.is_sent = False
-        #: Whether any byte of the answer was passed on.
+        #: Whether any byte of the answer was relayed.
         self.has_relayed_bytes = False
 
     async def run(self) -> RelayResult:
@@ -126,7 +125,7 @@
         ConnectionError
             If the connection breaks.
         AnswerTooLargeError
-            If more would have to be held back than allowed.
+            If the held-back answer to a change is too large.
         """
         rewriter = Rewriter(self._batch.statements, self._link.prepared)
         rewritten = rewriter.rewrite(self._batch.payload)
@@ -150,12 +149,12 @@
                 self._record_error(frame)
                 rewritten.expected.clear()
                 replies = 0
-            await self._pass(frame)
+            await self._relay_frame(frame)
         await self.flush()
         return self._finish('')
 
     async def flush(self) -> None:
-        """Pass on what is gathered and not held back."""
+        """Relay the buffered bytes that are not held back."""
         if self._buffer:
             self.has_relayed_bytes = True
             payload = bytes(self._buffer)
@@ -163,7 +162,7 @@
             await self._sink(payload)
 
     async def _read_trailer(self) -> QueryResult | None:
-        return await self._link.read_answer() if self._trailer else None
+        return await self._link.read_result() if self._trailer else None
 
     async def _next_frame(self) -> Frame:
         frame = self._link.take_frame()
@@ -174,7 +173,7 @@
         self.frames += 1
         return frame
 
-    async def _pass(self, frame: Frame) -> None:
+    async def _relay_frame(self, frame: Frame) -> None:
         if frame.tag == tags.NOTIFICATION:
             return
         if frame.tag in _COPY_TAGS:
@@ -223,32 +222,34 @@
 
 
 async def replay_settings(link: DatabaseLink, batch: RunBatch) -> str:
-    """Give a connection the settings of the caller's session.
+    """Apply the session settings of the caller to a connection.
 
     Returns
     -------
     str
-        Empty, or what the database said against a setting.
+        Error message of the database, or empty on success.
 
     Raises
     ------
     ConnectionError
-        If the connection breaks; nothing of the batch was sent.
+        If the connection breaks; the batch has not been sent.
     """
-    wanted = tuple((name, text) for name, text in batch.settings)
-    if link.settings == wanted:
+    requested = tuple((name, text) for name, text in batch.settings)
+    if link.settings == requested:
         return ''
     link.settings = (('', ''),)
-    calls = ['RESET ALL']
-    calls.extend(f'SET {name} = {_quote(text)}' for name, text in wanted)
-    for call in calls:
-        answer = await link.query(call)
+    statements = ['RESET ALL']
+    statements.extend(
+        f'SET {name} = {_quote_literal(text)}' for name, text in requested
+    )
+    for statement in statements:
+        answer = await link.query(statement)
         if answer.sqlstate:
             return answer.text
-    link.settings = wanted
+    link.settings = requested
     return ''
 
 
-def _quote(text: str) -> str:
+def _quote_literal(text: str) -> str:
     doubled = text.replace("'", "''")
     return f"'{doubled}'"
--- a/deckdrum/keepers/rewriting.py
+++ b/deckdrum/keepers/rewriting.py
@@ -1,8 +1,8 @@
 """Prepared statements on pooled connections.
 
-A caller's statement gets a name derived from its text, so that callers share
-what a connection has prepared.  A statement that the chosen connection lacks
-is prepared there first; the extra answers are dropped.
+On backend connections a statement is named by a hash of its text and parameter
+types, so that callers share prepared statements.  A statement that is missing
+on a connection is prepared there first, and the extra replies are suppressed.
 """
 
 import hashlib
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExpectedReply:
-    """An answer that will come, and what it means for the connection."""
+    """An expected reply and its effect on the prepared statements."""
 
     tag: bytes
     is_suppressed: bool = False
@@ -32,9 +32,10 @@
 
 @dataclass(slots=True)
 class RewrittenBatch:
-    """What to send, and the answers to expect in order.
+    """Rewritten messages and the replies expected for them, in order.
 
-    `replies` counts the answers that end a message (for Flush).
+    `replies` is the number of messages whose replies the caller receives; it
+    tells when a batch that ends with Flush is complete.
     """
 
     payload: bytes
@@ -44,7 +45,7 @@
 
 
 def name_statement(query: str, oids: Iterable[int]) -> str:
-    """Return the name of a statement on backend connections.
+    """Return the server-side name of a statement.
 
     Examples
     --------
@@ -59,7 +60,7 @@
 
 
 def define_statement(message: Any) -> PreparedStatement:
-    """Return the definition of a caller's decoded Parse."""
+    """Return the statement definition for a decoded Parse message."""
     server_name = name_statement(message.query, message.param_types)
     parse = codec.Parse(
         statement=server_name,
@@ -75,9 +76,9 @@
     Parameters
     ----------
     statements : iterable of PreparedStatement
-        Definitions that the batch may name.
+        Definitions that the batch may refer to.
     prepared : set of bytes
-        Names that the connection has prepared.
+        Server names of the statements prepared on the connection.
     """
 
     def __init__(
@@ -85,13 +86,13 @@
         statements: Iterable[PreparedStatement],
         prepared: set[bytes],
     ) -> None:
-        self._known = {each.name: each for each in statements}
+        self._definitions = {each.name: each for each in statements}
         self._prepared = set(prepared)
         self._parts: list[bytes] = []
         self._batch = RewrittenBatch(b'')
 
     def rewrite(self, payload: bytes) -> RewrittenBatch:
-        """Return the batch as the connection must see it.
+        """Return the batch rewritten for the connection.
 
         Raises
         ------
@@ -100,21 +101,21 @@
         """
         last = b''
         for frame in split_frames(payload):
-            step = _STEPS.get(frame.tag, Rewriter.pass_on)
-            step(self, frame)
+            rewrite_frame = _HANDLERS.get(frame.tag, Rewriter.append_unchanged)
+            rewrite_frame(self, frame)
             last = frame.tag
         self._batch.payload = b''.join(self._parts)
         self._batch.ends_with_sync = last != tags.FLUSH
         return self._batch
 
-    def pass_on(self, frame: Frame) -> None:
-        """Take a message over as it is."""
+    def append_unchanged(self, frame: Frame) -> None:
+        """Append a message unchanged."""
         self._parts.append(frame.raw)
         if frame.tag in {tags.EXECUTE, tags.DESCRIBE}:
             self._batch.replies += 1
 
     def parse(self, frame: Frame) -> None:
-        """Take over a Parse under its server name."""
+        """Rewrite a Parse to its server name."""
         message = decode_frontend(frame)
         if not message.statement:
             self._add(frame.raw, ExpectedReply(tags.PARSE_COMPLETE))
@@ -122,9 +123,9 @@
         definition = define_statement(message)
         name = definition.server_name.encode()
         if name in self._prepared:
-            # Parse again, so that the answers come in the caller's order.
-            self._close(definition.server_name)
-        self._known[message.statement] = definition
+            # Close and parse again to keep replies in the caller's order.
+            self._add_close(definition.server_name)
+        self._definitions[message.statement] = definition
         self._prepared.add(name)
         self._add(
             definition.parse,
@@ -132,9 +133,9 @@
         )
 
     def bind(self, frame: Frame) -> None:
-        """Take over a Bind; its statement is prepared if need be."""
+        """Rewrite a Bind; prepare its statement first if it is missing."""
         message = decode_frontend(frame)
-        name = self._ensure(message.statement)
+        name = self._ensure_prepared(message.statement)
         if name is None:
             self._add(frame.raw, ExpectedReply(tags.BIND_COMPLETE))
             return
@@ -142,17 +143,17 @@
         self._add(message.to_wire(), ExpectedReply(tags.BIND_COMPLETE))
 
     def describe(self, frame: Frame) -> None:
-        """Take over a Describe."""
+        """Rewrite a Describe; prepare its statement first if missing."""
         message = decode_frontend(frame)
         if message.kind == 'S':
-            message.name = self._ensure(message.name) or message.name
+            message.name = self._ensure_prepared(message.name) or message.name
         self._parts.append(message.to_wire())
         self._batch.replies += 1
 
     def close(self, frame: Frame) -> None:
-        """Take over a Close."""
+        """Rewrite a Close to the server name."""
         message = decode_frontend(frame)
-        definition = self._known.get(message.name)
+        definition = self._definitions.get(message.name)
         if message.kind != 'S' or definition is None:
             self._add(frame.raw, ExpectedReply(tags.CLOSE_COMPLETE))
             return
@@ -164,9 +165,9 @@
             ExpectedReply(tags.CLOSE_COMPLETE, closed=name.encode()),
         )
 
-    def _ensure(self, name: str) -> str | None:
-        """Have a statement prepared; return its server name."""
-        definition = self._known.get(name) if name else None
+    def _ensure_prepared(self, name: str) -> str | None:
+        """Prepare a statement if it is missing; return its server name."""
+        definition = self._definitions.get(name) if name else None
         if definition is None:
             return None
         server_name = definition.server_name.encode()
@@ -182,7 +183,7 @@
             )
         return definition.server_name
 
-    def _close(self, name: str) -> None:
+    def _add_close(self, name: str) -> None:
         self._parts.append(codec.Close(kind='S', name=name).to_wire())
         self._batch.expected.append(
             ExpectedReply(
@@ -198,8 +199,8 @@
         self._batch.replies += 1
 
 
-_Step = Callable[[Rewriter, Frame], None]
-_STEPS: Final[Mapping[bytes, _Step]] = MappingProxyType(
+_FrameHandler = Callable[[Rewriter, Frame], None]
+_HANDLERS: Final[Mapping[bytes, _FrameHandler]] = MappingProxyType(
     {
         tags.PARSE: Rewriter.parse,
         tags.BIND: Rewriter.bind,
--- a/deckdrum/keepers/routing.py
+++ b/deckdrum/keepers/routing.py
@@ -1,4 +1,4 @@
-"""Choosing the database for a batch."""
+"""Routing of batches to databases."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
@@ -16,12 +16,12 @@
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.sessions import Position
 
-#: Pause before a position is asked for in a new term, in seconds.
+#: Delay before a position is requested again after a change of term.
 _TERM_POLL_INTERVAL_S: Final = 0.01
 
 
 class Reason(StrEnum):
-    """Why a batch went where it went; shown by ``deckdrumctl explain``."""
+    """Reason for a routing decision; shown by ``deckdrumctl explain``."""
 
     WRITE = 'change'
     REPLICA = 'replica fresh enough'
@@ -30,13 +30,13 @@
 
     @property
     def is_change(self) -> bool:
-        """Whether the batch may change something."""
+        """Whether the batch may write."""
         return self is Reason.WRITE
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where a batch goes."""
+    """Routing decision for a batch."""
 
     pool: DatabasePool
     is_primary: bool
@@ -47,25 +47,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequirement:
-    """What a read asks of a replica."""
+    """Data that a replica must have to serve a read."""
 
-    floor: Position
+    min_position: Position
     max_age: float | None
 
 
 class Router:
-    """Chooses databases of one service.
+    """Chooses a database of one service for each batch.
 
     Parameters
     ----------
     service : Service
-        The declared service.
+        The service's configuration.
     watch : ServiceWatch
         States of its databases.
     pools : mapping of str to DatabasePool
-        Connections of each database.
+        Connection pool of each database.
     data_centre : str
-        Where the keeper runs; databases there are nearer.
+        Data centre of the keeper, whose databases are preferred.
     """
 
     def __init__(
@@ -79,11 +79,11 @@
         self.watch = watch
         self.pools = pools
         self._data_centre = data_centre
-        #: Databases that the platform lists as leaving.
+        #: Databases that the platform is about to remove.
         self.leaving: frozenset[str] = frozenset()
 
     def reconfigure(self, service: Service) -> None:
-        """Take over a new declaration of the service."""
+        """Apply a new configuration of the service."""
         self._service = service
 
     async def choose(
@@ -99,7 +99,7 @@
         batch : RunBatch
             The batch.
         access : Access
-            What it needs.
+            Consistency that the batch requires.
         limit : float
             Longest wait in seconds.
         """
@@ -115,8 +115,8 @@
         reason: Reason,
         limit: float,
     ) -> Route | Refusal:
-        """Return the route to the primary once there is one."""
-        pool = await self.watch.wait_for(self._find_primary, limit)
+        """Return the route to the primary; wait until there is one."""
+        pool = await self.watch.probe_until(self._find_primary, limit)
         if pool is None:
             return refuse(Code.NO_PRIMARY, f'service {self._service.name}')
         return Route(pool, True, self.watch.term, reason)
@@ -127,47 +127,50 @@
         access: Access,
         limit: float,
     ) -> Route | Refusal:
-        floor = Position(*batch.floor)
+        min_position = Position(*batch.floor)
         max_age: float | None = batch.max_age
         if access is Access.CURRENT:
             confirmed = await self._confirm(limit)
             if confirmed is None:
                 return refuse(Code.READ_NOT_POSSIBLE, 'no majority answers')
-            floor = max(floor, confirmed)
+            min_position = max(min_position, confirmed)
             max_age = None
-        return await self._choose_reader(ReadRequirement(floor, max_age), limit)
+        return await self._choose_reader(
+            ReadRequirement(min_position, max_age), limit
+        )
 
     async def _confirm(self, limit: float) -> Position | None:
-        """Return a confirmed position, also across a change of term."""
+        """Return a confirmed position; retry if the term changes."""
         async with curio.ignore_after(limit):
             while True:
                 confirmed = await self.watch.confirm(limit)
                 if confirmed is not None:
                     return confirmed
-                # The term has ended; the read has not run, so wait for the
-                # next one.
+                # The read has not run yet, so it can be confirmed in the next
+                # term.
                 await curio.sleep(_TERM_POLL_INTERVAL_S)
         return None
 
     async def _choose_reader(
-        self, need: ReadRequirement, limit: float
+        self, requirement: ReadRequirement, limit: float
     ) -> Route | Refusal:
-        find = partial(self._find_replica, need, await curio.clock())
+        find = partial(self._find_replica, requirement, await curio.clock())
         pool = find()
         reason = Reason.REPLICA
         if pool is None:
             wait = min(limit, self._service.catch_up_limit)
-            # The age is bounded at the start: waiting must not age the data.
-            pool = await self.watch.wait_for(find, wait)
+            # `find` bounds the age relative to the start of the wait, so the
+            # wait itself does not count as age.
+            pool = await self.watch.probe_until(find, wait)
             reason = Reason.REPLICA_AFTER_WAIT
         if pool is not None:
             return Route(pool, False, self.watch.term, reason)
-        if need.floor.term > self.watch.term:
+        if requirement.min_position.term > self.watch.term:
             return refuse(Code.READ_NOT_POSSIBLE, 'the keeper lags behind')
         return await self.choose_primary(Reason.NO_REPLICA, limit)
 
     def _find_primary(self) -> DatabasePool | None:
-        state = self.watch.read_state(self.watch.primary)
+        state = self.watch.get_state(self.watch.primary)
         if state is None or state.role is not Role.PRIMARY:
             return None
         if not state.is_in_term(self.watch.term):
@@ -175,29 +178,32 @@
         return self.pools.get(self.watch.primary)
 
     def _find_replica(
-        self, need: ReadRequirement, now: float
+        self, requirement: ReadRequirement, now: float
     ) -> DatabasePool | None:
-        fitting = [
+        eligible = [
             pool
             for name, pool in self.pools.items()
-            if self._meets_requirement(name, need, now)
+            if self._meets_requirement(name, requirement, now)
         ]
-        if not fitting:
+        if not eligible:
             return None
-        return min(fitting, key=self._rank)
+        return min(eligible, key=self._rank)
 
     def _meets_requirement(
-        self, name: str, need: ReadRequirement, now: float
+        self, name: str, requirement: ReadRequirement, now: float
     ) -> bool:
-        state = self.watch.read_state(name)
+        state = self.watch.get_state(name)
         if state is None or not self._may_read(name, state):
             return False
-        if need.floor.term > state.term or need.floor.offset > state.applied:
+        if (
+            requirement.min_position.term > state.term
+            or requirement.min_position.offset > state.applied
+        ):
             return False
-        if need.max_age is None:
+        if requirement.max_age is None:
             return True
         age = self.watch.history.bound_age(state.applied, now)
-        return age <= need.max_age
+        return age <= requirement.max_age
 
     def _may_read(self, name: str, state: DatabaseState) -> bool:
         if state.leaving or name in self.leaving:
--- a/deckdrum/keepers/sessions.py
+++ b/deckdrum/keepers/sessions.py
@@ -1,4 +1,4 @@
-"""The keeper's end of a channel: one task runs one caller's batches."""
+"""Keeper side of a channel, which runs one caller's batches in one task."""
 
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
@@ -33,29 +33,29 @@
 if TYPE_CHECKING:
     from deckdrum.keepers.core import Keeper
 
-#: How often a waiting relay looks whether its database is still in charge.
+#: Interval at which a running batch checks that its route is still valid.
 _LIVENESS_CHECK_INTERVAL_S = 0.5
-_RETRY_PAUSE = 0.05
-#: How often an idle transaction is looked at, in seconds.
+_RETRY_DELAY_S = 0.05
+#: Interval at which an idle transaction is checked.
 _IDLE_CHECK_INTERVAL_S = 0.25
-#: Idle time of a transaction on a lent connection that another group waits
-#: for, in seconds.
+#: Idle timeout of a transaction on a lent connection for which a request of
+#: another group is waiting.
 _LENT_IDLE_TIMEOUT_S = 0.5
-#: Longest wait for settings to be replayed, in seconds.
+#: Longest wait for session settings to be applied to a connection.
 _SETTINGS_TIMEOUT_S = 1.0
-#: SQLSTATE of a database that takes no changes.
+#: SQLSTATE read_only_sql_transaction.
 _READ_ONLY = '25006'
 _IDLE = 'I'
 _FLUSH = Frame.build(tags.FLUSH).raw
 
 
 class CallerDisconnectedError(Exception):
-    """The caller's proxy no longer listens."""
+    """The channel to the caller's proxy is closed."""
 
 
 @dataclass(slots=True)
 class _HeldConnection:
-    """A connection that the channel holds, and how it was routed."""
+    """Connection held by the channel, and its route."""
 
     lease: Lease[Database, DatabaseLink]
     route: Route
@@ -63,19 +63,19 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """One batch and the time by which it must have a connection."""
+    """Batch and the deadline for it to get a connection."""
 
     batch: RunBatch
     access: Access
     deadline: float
 
     async def remaining(self) -> float:
-        """Return the seconds left; at least a moment."""
+        """Return the seconds left, at least `_RETRY_DELAY_S`."""
         now: float = await curio.clock()
-        return max(self.deadline - now, _RETRY_PAUSE)
+        return max(self.deadline - now, _RETRY_DELAY_S)
 
     async def is_over(self) -> bool:
-        """Tell whether the deadline has passed."""
+        """Whether the deadline has passed."""
         now: float = await curio.clock()
         return now >= self.deadline
 
@@ -88,9 +88,9 @@
     keeper : Keeper
         The keeper of the service.
     channel : Channel
-        To the caller's proxy.
+        Channel to the caller's proxy.
     opened : OpenChannel
-        The message that opened the channel.
+        Message that opened the channel.
     """
 
     def __init__(
@@ -102,21 +102,22 @@
         self._keeper = keeper
         self._channel = channel
         self._group = opened.group
-        self._holding: _HeldConnection | None = None
+        self._connection: _HeldConnection | None = None
         self._is_cancelled = False
 
     @property
     def is_pinned(self) -> bool:
         """Whether a transaction holds a connection."""
-        return self._holding is not None
+        return self._connection is not None
 
     async def run(self) -> Message | None:
-        """Run batches until the channel ends or turns to another service.
+        """Run batches until the channel closes or sends another message.
 
         Returns
         -------
         Message or None
-            The message that was no batch, or None at the end.
+            The first message that is not a batch, or None if the channel
+            closed.
         """
         try:
             while True:
@@ -132,13 +133,16 @@
             await self._discard_connection()
 
     async def cancel(self) -> None:
-        """Cancel what runs; the connection is closed after its transaction."""
-        if self._holding is not None:
+        """Cancel the running statement.
+
+        The connection is closed instead of reused after its transaction.
+        """
+        if self._connection is not None:
             self._is_cancelled = True
-            await self._holding.lease.link.cancel()
+            await self._connection.lease.link.cancel()
 
     async def _receive(self) -> Message | None:
-        if self._holding is None:
+        if self._connection is None:
             return await self._channel.receive()
         limit = self._keeper.get_idle_timeout(self._group)
         idle: float = 0
@@ -154,15 +158,15 @@
         return None
 
     def _must_return_lent(self, idle: float) -> bool:
-        """Tell whether an idle transaction sits on another group's share."""
-        if idle < _LENT_IDLE_TIMEOUT_S or self._holding is None:
+        """Whether an idle transaction blocks another group's connection."""
+        if idle < _LENT_IDLE_TIMEOUT_S or self._connection is None:
             return False
-        queue = self._holding.route.pool.queue
+        queue = self._connection.route.pool.queue
         return queue.must_return_connection(self._group)
 
     async def _run_batch(self, batch: RunBatch) -> None:
         access = Access(batch.access)
-        if self._holding is not None:
+        if self._connection is not None:
             await self._run_pinned(batch, access)
             return
         if not await self._keeper.can_accept_batches():
@@ -172,33 +176,33 @@
         deadline = await curio.clock() + limit
         attempt: _Attempt | None = _Attempt(batch, access, deadline)
         while attempt is not None:
-            attempt = await self._try(attempt)
+            attempt = await self._try_once(attempt)
 
-    async def _try(self, attempt: _Attempt) -> _Attempt | None:
-        """Try a batch once; return what is to be tried next, if anything."""
-        holding = await self._acquire(attempt)
-        if isinstance(holding, Refusal):
-            await self._refuse(holding)
+    async def _try_once(self, attempt: _Attempt) -> _Attempt | None:
+        """Attempt a batch once; return the next attempt, if any."""
+        connection = await self._acquire(attempt)
+        if isinstance(connection, Refusal):
+            await self._refuse(connection)
             return None
-        if holding is None:
-            await curio.sleep(_RETRY_PAUSE)
+        if connection is None:
+            await curio.sleep(_RETRY_DELAY_S)
             return attempt
-        self._holding = holding
-        link = holding.lease.link
+        self._connection = connection
+        link = connection.lease.link
         try:
             async with curio.timeout_after(_SETTINGS_TIMEOUT_S):
-                complaint = await replay_settings(link, attempt.batch)
+                error_text = await replay_settings(link, attempt.batch)
         except (ConnectionError, curio.TaskTimeout):
             await self._discard_connection()
-            return None if await self._give_up(attempt) else attempt
-        if complaint:
+            return None if await self._refuse_if_expired(attempt) else attempt
+        if error_text:
             await self._discard_connection()
-            await self._refuse(refuse(Code.BAD_SETTING, complaint))
+            await self._refuse(refuse(Code.BAD_SETTING, error_text))
             return None
         return await self._attempt(attempt)
 
-    async def _give_up(self, attempt: _Attempt) -> bool:
-        """Refuse a batch whose time is over before it was sent."""
+    async def _refuse_if_expired(self, attempt: _Attempt) -> bool:
+        """Refuse a batch, not yet sent, if its deadline has passed."""
         is_over = await attempt.is_over()
         if is_over:
             await self._refuse(refuse(Code.QUEUE_TIMEOUT, 'no connection'))
@@ -208,7 +212,7 @@
         self,
         attempt: _Attempt,
     ) -> _HeldConnection | Refusal | None:
-        """Route a batch and lend a connection; None to try again."""
+        """Route a batch and acquire a connection; None means retry."""
         route = await self._keeper.router.choose(
             attempt.batch,
             attempt.access,
@@ -232,15 +236,15 @@
 
     async def _attempt(self, attempt: _Attempt) -> _Attempt | None:
         """Run a batch on the connection that the channel holds."""
-        holding = self._require_connection()
+        connection = self._require_connection()
         relay = Relay(
-            holding.lease.link,
+            connection.lease.link,
             attempt.batch,
-            self._pass_rows,
-            _read_trailer(holding.route, attempt.batch),
+            self._send_rows,
+            _choose_trailer(connection.route, attempt.batch),
         )
         try:
-            end = await self._run_guarded(relay, holding.route)
+            end = await self._run_guarded(relay, connection.route)
         except ConnectionError as error:
             await self._discard_connection()
             return await self._handle_loss(attempt, relay, error)
@@ -250,7 +254,7 @@
             return None
         if end.rejected:
             return await self._handle_rejection(attempt, end)
-        await self._finish(end, holding.route)
+        await self._finish(end, connection.route)
         return None
 
     async def _handle_loss(
@@ -259,7 +263,7 @@
         relay: Relay,
         error: ConnectionError,
     ) -> _Attempt | None:
-        """Act on a connection that broke while a batch ran on it."""
+        """Retry or refuse a batch whose connection broke while it ran."""
         if not relay.is_sent:
             await self._refuse(refuse(Code.PROTOCOL_VIOLATION, str(error)))
             return None
@@ -279,26 +283,26 @@
         attempt: _Attempt,
         end: RelayResult,
     ) -> _Attempt | None:
-        """Act on a database that itself said that it ran nothing."""
+        """Retry or refuse a batch that the database did not execute."""
         await self._let_go(end)
         self._keeper.count('backend.rejected')
         is_over = await attempt.is_over()
-        if is_over or not attempt.batch.repeatable or self._holding:
-            told = f'SQLSTATE {end.rejected}'
-            await self._refuse(refuse(Code.PRIMARY_REFUSED, told))
+        if is_over or not attempt.batch.repeatable or self._connection:
+            detail = f'SQLSTATE {end.rejected}'
+            await self._refuse(refuse(Code.PRIMARY_REFUSED, detail))
             return None
-        await curio.sleep(_RETRY_PAUSE)
+        await curio.sleep(_RETRY_DELAY_S)
         access = attempt.access
         if end.rejected == _READ_ONLY:
-            # A read that turns out to write needs the primary.
+            # The batch was classified as a read but writes.
             access = Access.WRITE
         return _Attempt(attempt.batch, access, attempt.deadline)
 
     async def _run_pinned(self, batch: RunBatch, access: Access) -> None:
-        holding = self._require_connection()
-        relay = Relay(holding.lease.link, batch, self._pass_rows)
+        connection = self._require_connection()
+        relay = Relay(connection.lease.link, batch, self._send_rows)
         try:
-            end = await self._run_guarded(relay, holding.route)
+            end = await self._run_guarded(relay, connection.route)
         except ConnectionError as error:
             await self._discard_connection()
             await self._refuse(
@@ -312,32 +316,34 @@
             return
         if end.rejected:
             await self._let_go(end)
-            told = f'SQLSTATE {end.rejected}'
+            detail = f'SQLSTATE {end.rejected}'
             await self._refuse(
-                refuse(Code.PRIMARY_REFUSED, told),
+                refuse(Code.PRIMARY_REFUSED, detail),
                 lost=not self.is_pinned,
             )
             return
-        await self._finish(end, holding.route)
+        await self._finish(end, connection.route)
 
     async def _run_guarded(self, relay: Relay, route: Route) -> RelayResult:
-        """Run a relay until its database is no longer in charge.
+        """Run a relay; abort it if its route is lost.
 
         Raises
         ------
         ConnectionError
-            If the connection breaks or the group moved to another term.
+            If the connection breaks or the route is lost.
         """
         task = await curio.spawn(_run_relay, relay)
         try:
             while not task.terminated:
-                heard = relay.frames
+                frames_before = relay.frames
                 async with curio.ignore_after(_LIVENESS_CHECK_INTERVAL_S):
                     await task.wait()
                 if task.terminated:
                     break
-                is_heard = relay.frames > heard
-                if await self._keeper.has_lost(route, is_heard=is_heard):
+                is_receiving = relay.frames > frames_before
+                if await self._keeper.is_route_lost(
+                    route, is_receiving=is_receiving
+                ):
                     raise ConnectionResetError('the database is gone')
         finally:
             if not task.terminated:
@@ -348,25 +354,25 @@
         return end
 
     async def _finish(self, end: RelayResult, route: Route) -> None:
-        """Give the connection back, confirm, and pass the answer's end on."""
+        """Release the connection, confirm, and send the held-back answer."""
         await self._let_go(end)
-        floor: Position | None = Position(0, 0)
+        position: Position | None = Position(0, 0)
         if end.status == _IDLE:
-            floor = await self._confirm(route, end)
-        if floor is None:
+            position = await self._confirm(route, end)
+        if position is None:
             code = Code.UNCONFIRMED
             if not route.is_primary:
                 code = Code.READ_NOT_POSSIBLE
             await self._refuse(refuse(code))
             return
         if end.held:
-            await self._pass_rows(end.held)
+            await self._send_rows(end.held)
         await self._send(
             BatchEnd(
                 end.status,
                 route.pool.database.name,
                 route.reason.value,
-                (floor.term, floor.offset),
+                (position.term, position.offset),
             ),
         )
         self._keeper.record_answered_batch(self._group, route)
@@ -376,7 +382,7 @@
         route: Route,
         end: RelayResult,
     ) -> Position | None:
-        """Return the position that the answer rests on, once it is safe."""
+        """Return the position of the answer; None if it is not confirmed."""
         service = self._keeper.service
         watch = self._keeper.watch
         if route.is_primary:
@@ -389,25 +395,25 @@
         return await self._keeper.confirm_read(route, end.trailer)
 
     async def _let_go(self, end: RelayResult) -> None:
-        """Give the connection back if no transaction is open."""
-        if end.status != _IDLE or self._holding is None:
+        """Release the connection if no transaction is open."""
+        if end.status != _IDLE or self._connection is None:
             return
-        holding = self._holding
-        self._holding = None
+        connection = self._connection
+        self._connection = None
         is_clean = not self._is_cancelled
         self._is_cancelled = False
-        await holding.route.pool.release(holding.lease, is_clean)
+        await connection.route.pool.release(connection.lease, is_clean)
 
     async def _discard_connection(self) -> None:
-        """Close the connection: its answer is in doubt or unwanted."""
-        holding = self._holding
-        self._holding = None
+        """Close the connection, as an answer on it may be outstanding."""
+        connection = self._connection
+        self._connection = None
         self._is_cancelled = False
-        if holding is not None:
+        if connection is not None:
             async with curio.disable_cancellation():
-                await holding.route.pool.release(holding.lease, False)
+                await connection.route.pool.release(connection.lease, False)
 
-    async def _pass_rows(self, payload: bytes) -> None:
+    async def _send_rows(self, payload: bytes) -> None:
         await self._send(Rows(payload))
 
     async def _refuse(self, refusal: Refusal, lost: bool = False) -> None:
@@ -423,13 +429,13 @@
             raise CallerDisconnectedError from error
 
     def _require_connection(self) -> _HeldConnection:
-        if self._holding is None:
+        if self._connection is None:
             raise BrokenInvariantError('the channel holds no connection')
-        return self._holding
+        return self._connection
 
 
 async def _run_relay(relay: Relay) -> RelayResult | Exception:
-    """Run a relay; its failure is a value for the task that waits."""
+    """Run a relay; return its exception instead of raising it."""
     try:
         return await relay.run()
     except (
@@ -440,8 +446,8 @@
         return error
 
 
-def _read_trailer(route: Route, batch: RunBatch) -> bytes:
-    """Return what to ask a replica behind a read: how far it is."""
+def _choose_trailer(route: Route, batch: RunBatch) -> bytes:
+    """Return the state query to pipeline after a replica read, if any."""
     if route.is_primary or batch.payload.endswith(_FLUSH):
         return b''
     return route.pool.database.state_request
--- a/deckdrum/keepers/supervision.py
+++ b/deckdrum/keepers/supervision.py
@@ -1,4 +1,4 @@
-"""What a keeper does on its own: notice a lost primary and mend the group."""
+"""Supervision of a group: failure detection, failover and replica repair."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -17,30 +17,29 @@
 if TYPE_CHECKING:
     from deckdrum.keepers.core import Keeper
 
-#: How often the supervisor looks, in seconds.
 SUPERVISION_INTERVAL_S: Final = 0.1
-#: Silence of a primary before peers are asked, in seconds.
+#: A primary unresponsive for this long is replaced, unless a peer reaches it.
 PRIMARY_LOST_AFTER_S: Final = 0.8
-#: Failed probes in a row that must have been seen as well.
+#: Consecutive failed probes required in addition.
 MIN_FAILED_PROBES: Final = 2
-#: Time that another driver is given before its failover is taken over.
+#: Time after which the unfinished failover of another driver is taken over.
 FAILOVER_TAKEOVER_DELAY_S: Final = 3.0
-#: Pause after a failover that could not be driven or was vetoed, in seconds.
+#: Delay after a failover that failed or was vetoed by a peer.
 FAILOVER_RETRY_DELAY_S: Final = 0.5
-#: Pause between two tries to hand over from a leaving primary, in seconds.
+#: Delay between attempts to replace a primary that is being removed.
 HANDOVER_RETRY_DELAY_S: Final = 10.0
-_LEAVING: Final = 'the primary is leaving'
-#: Time without progress of a majority behind the primary, in seconds.
+_PRIMARY_LEAVING: Final = 'the primary is leaving'
+#: Time without replication progress while the majority lags the primary.
 REPLICATION_STALLED_AFTER_S: Final = 1.5
 REPLICATION_STALLED: Final = 'no majority receives its log'
-#: How long a keeper leaves its service to others, in seconds.
+#: How long a keeper rejects batches after a peer vetoed its failover.
 STEP_ASIDE_DURATION_S: Final = 3.0
 #: Reports kept for ``deckdrumctl explain``.
 _MAX_REPORTS: Final = 50
 
 
 class Supervisor:
-    """Watches over the group of one keeper.
+    """Supervises the group of one keeper.
 
     Parameters
     ----------
@@ -50,131 +49,131 @@
 
     def __init__(self, keeper: 'Keeper') -> None:
         self._keeper = keeper
-        self._around = keeper.around
+        self._context = keeper.around
         self.reports: deque[FailoverReport] = deque(maxlen=_MAX_REPORTS)
         self._fencing_since: tuple[int, float] = (0, 0)
-        self._silent_since: float | None = None
+        self._unresponsive_since: float | None = None
         self._next_handover_at: float = 0
         self._awaited_report: FailoverReport | None = None
-        #: The peers' answer, asked for at the first failure.
+        #: Task that asks peers, started at the first failed probe.
         self._peer_check: Any = None
-        #: Offset that a majority holds, and since when it is the same.
-        self._held: int | None = None
-        self._held_since: float = 0
-        #: Version of the record, and since when it is known.
-        self._known: tuple[int, float] = (0, 0)
+        #: Offset that a majority holds, and since when it is unchanged.
+        self._majority_offset: int | None = None
+        self._majority_offset_since: float = 0
+        #: Version of the group record, and when it was first seen.
+        self._record_seen: tuple[int, float] = (0, 0)
 
     async def run(self) -> None:
-        """Look after the group for ever."""
+        """Supervise the group until cancelled."""
         while True:
-            self._keeper.adopt_record()
-            pause = await self._supervise_once()
-            await self._wait_for_change(pause)
+            self._keeper.apply_group_record()
+            delay = await self._supervise_once()
+            await self._wait_for_change(delay)
 
-    async def _wait_for_change(self, pause: float) -> None:
-        """Rest until the platform's objects change, or for `pause` seconds."""
-        changed = self._around.view.changed
-        async with curio.ignore_after(pause):
+    async def _wait_for_change(self, delay: float) -> None:
+        """Wait for a change of the platform's records, at most `delay`."""
+        changed = self._context.view.changed
+        async with curio.ignore_after(delay):
             async with changed:
                 await changed.wait()
 
     async def _supervise_once(self) -> float:
-        held = self._around.view.records.get(self._keeper.service.name)
-        if held is None:
+        current = self._context.view.records.get(self._keeper.service.name)
+        if current is None:
             return await self._create_record()
-        if held.record.phase is Phase.FENCING:
-            return await self._check_fencing(held)
-        await self._record_learned(held)
-        reason = await self._find_failure(held)
+        if current.record.phase is Phase.FENCING:
+            return await self._check_fencing(current)
+        await self._record_learned(current)
+        reason = await self._find_failure(current)
         if reason:
-            return await self._replace(held, reason)
-        if await self._should_hand_over(held.record):
-            return await self._replace(held, _LEAVING, self._plan_handover())
-        await self._mend(held.record)
+            return await self._replace(current, reason)
+        if await self._should_hand_over(current.record):
+            return await self._replace(
+                current, _PRIMARY_LEAVING, self._plan_handover()
+            )
+        await self._repoint_stray_replicas(current.record)
         return SUPERVISION_INTERVAL_S
 
     async def _create_record(self) -> float:
-        """Write the first record of a group, from what its databases say."""
-        states = self._read_states()
-        leading = [
+        """Create the group record from the states of the databases."""
+        states = self._get_states()
+        primaries = [
             (state.term, name)
             for name, state in states.items()
             if state.role is Role.PRIMARY
         ]
-        is_known = self._around.view.is_reachable
+        is_known = self._context.view.is_reachable
         if (
-            not leading
+            not primaries
             or not is_known
             or len(states) < self._keeper.watch.majority
         ):
             return SUPERVISION_INTERVAL_S
-        term, primary = max(leading)
+        term, primary = max(primaries)
         record = GroupRecord(
             service=self._keeper.service.name,
             term=term,
             primary=primary,
             phase=Phase.SETTLED,
-            operation=f'first-{self._around.proxy}',
-            driver=self._around.proxy,
+            operation=f'first-{self._context.proxy}',
+            driver=self._context.proxy,
         )
         try:
-            await self._around.view.put_record(record, 0)
+            await self._context.view.put_record(record, 0)
         except StoreError:
             return FAILOVER_RETRY_DELAY_S
         return SUPERVISION_INTERVAL_S
 
-    def _read_states(self) -> dict[str, DatabaseState]:
+    def _get_states(self) -> dict[str, DatabaseState]:
         states = {}
         for name in self._keeper.databases:
-            state = self._keeper.watch.read_state(name)
+            state = self._keeper.watch.get_state(name)
             if state is not None:
                 states[name] = state
         return states
 
-    async def _check_fencing(self, held: VersionedRecord) -> float:
-        """Take a failover over if its driver seems to be gone."""
+    async def _check_fencing(self, current: VersionedRecord) -> float:
+        """Take over a failover that its driver has not finished in time."""
         now = await curio.clock()
         term, since = self._fencing_since
-        if term != held.record.term:
-            self._fencing_since = (held.record.term, now)
+        if term != current.record.term:
+            self._fencing_since = (current.record.term, now)
             return SUPERVISION_INTERVAL_S
-        is_own = held.record.driver == self._around.proxy
-        patience = (
-            FAILOVER_RETRY_DELAY_S if is_own else FAILOVER_TAKEOVER_DELAY_S
-        )
-        if now - since < patience:
+        is_own = current.record.driver == self._context.proxy
+        delay = FAILOVER_RETRY_DELAY_S if is_own else FAILOVER_TAKEOVER_DELAY_S
+        if now - since < delay:
             return SUPERVISION_INTERVAL_S
-        return await self._replace(held, 'the driver did not finish')
+        return await self._replace(current, 'the driver did not finish')
 
-    async def _find_failure(self, held: VersionedRecord) -> str:
-        """Return why the primary counts as lost, or nothing."""
-        record = held.record
+    async def _find_failure(self, current: VersionedRecord) -> str:
+        """Return why the primary must be replaced, or an empty string."""
+        record = current.record
         watcher = self._keeper.watch.watchers.get(record.primary)
         if watcher is None:
             return 'the primary was taken out of the configuration'
         now = await curio.clock()
-        if self._known[0] != held.version:
-            self._known = (held.version, now)
-            self._silent_since = None
-        state = self._keeper.watch.read_state(record.primary)
+        if self._record_seen[0] != current.version:
+            self._record_seen = (current.version, now)
+            self._unresponsive_since = None
+        state = self._keeper.watch.get_state(record.primary)
         if state is not None and watcher.sample is not None:
-            self._silent_since = None
+            self._unresponsive_since = None
             self._peer_check = None
-            # An answer from before the promotion says nothing against it.
-            if watcher.sample.started_at < self._known[1]:
+            # Ignore states that were probed before the record changed.
+            if watcher.sample.started_at < self._record_seen[1]:
                 return ''
             fault = _check_primary_state(state, record.term)
             return fault or self._check_progress(record, state, now)
         if not watcher.failures:
             return ''
-        if self._silent_since is None:
-            # The silence began with the last probe that was answered.
+        if self._unresponsive_since is None:
+            # Unresponsive since the last successful probe.
             sample = watcher.sample
             last = sample.started_at if sample else now
-            self._silent_since = max(last, self._known[1])
+            self._unresponsive_since = max(last, self._record_seen[1])
             await self._start_peer_check(record)
-        is_long = now - self._silent_since >= PRIMARY_LOST_AFTER_S
-        if not is_long or watcher.failures < MIN_FAILED_PROBES:
+        is_expired = now - self._unresponsive_since >= PRIMARY_LOST_AFTER_S
+        if not is_expired or watcher.failures < MIN_FAILED_PROBES:
             return ''
         return 'the primary does not answer'
 
@@ -184,43 +183,49 @@
         primary: DatabaseState,
         now: float,
     ) -> str:
-        """Return why a primary that answers gets nothing confirmed.
+        """Return why replication has stalled, or an empty string.
 
-        Its log no longer reaches a majority, although this proxy reaches
-        one: it is cut off from the other databases.
+        A majority that this proxy can reach then no longer receives the
+        primary's log: the primary is partitioned from the other databases.
         """
         others = [
             state
-            for name, state in self._read_states().items()
+            for name, state in self._get_states().items()
             if name != record.primary and state.is_in_term(record.term)
         ]
-        needed = self._keeper.watch.majority - 1
+        required = self._keeper.watch.majority - 1
         ranked = sorted((state.received for state in others), reverse=True)
-        held = ranked[needed - 1] if 0 < needed <= len(ranked) else None
-        is_behind = held is not None and held < primary.received
-        if not is_behind or held != self._held:
-            self._held = held
-            self._held_since = now
+        majority_offset = (
+            ranked[required - 1] if 0 < required <= len(ranked) else None
+        )
+        is_behind = (
+            majority_offset is not None and majority_offset < primary.received
+        )
+        if not is_behind or majority_offset != self._majority_offset:
+            self._majority_offset = majority_offset
+            self._majority_offset_since = now
             return ''
-        can_go_on = len(others) >= self._keeper.watch.majority
-        is_stalled = now - self._held_since >= REPLICATION_STALLED_AFTER_S
-        return REPLICATION_STALLED if is_stalled and can_go_on else ''
+        can_continue = len(others) >= self._keeper.watch.majority
+        is_stalled = (
+            now - self._majority_offset_since >= REPLICATION_STALLED_AFTER_S
+        )
+        return REPLICATION_STALLED if is_stalled and can_continue else ''
 
     async def _should_hand_over(self, record: GroupRecord) -> bool:
-        """Tell whether the primary leaves and another can take its place."""
-        states = self._read_states()
+        """Whether the primary is being removed and a successor exists."""
+        states = self._get_states()
         leaving = self._list_leaving(states)
         if record.primary not in leaving:
             return False
-        staying = [
+        remaining = [
             name
             for name, state in states.items()
             if name not in leaving and state.is_in_term(record.term)
         ]
         now: float = await curio.clock()
-        if not staying or now < self._next_handover_at:
+        if not remaining or now < self._next_handover_at:
             return False
-        # If no successor catches up, the old primary leads on for a while.
+        # If no successor catches up, the old primary stays until then.
         self._next_handover_at = now + HANDOVER_RETRY_DELAY_S
         return True
 
@@ -229,111 +234,114 @@
         return own | self._keeper.router.leaving
 
     def _plan_handover(self) -> Handover:
-        leaving = frozenset(self._list_leaving(self._read_states()))
+        leaving = frozenset(self._list_leaving(self._get_states()))
         return Handover(partial(self._has_successor, leaving), leaving)
 
     def _has_successor(self, leaving: frozenset[str], end: int) -> bool:
-        """Tell whether a database that is to stay has received `end`."""
+        """Whether a database that is not being removed has received `end`."""
         return any(
             state.received >= end
-            for name, state in self._read_states().items()
+            for name, state in self._get_states().items()
             if name not in leaving
         )
 
     async def _replace(
         self,
-        held: VersionedRecord,
+        current: VersionedRecord,
         reason: str,
         handover: Handover | None = None,
     ) -> float:
         report = FailoverReport(
-            held.record.service,
-            held.record.term + 1,
-            self._around.proxy,
-            held.record.primary,
+            current.record.service,
+            current.record.term + 1,
+            self._context.proxy,
+            current.record.primary,
             reason,
         )
-        report.phases['last answer'] = self._silent_since or await curio.clock()
+        report.phases['last answer'] = (
+            self._unresponsive_since or await curio.clock()
+        )
         report.phases['detect'] = await curio.clock()
-        if held.record.phase is Phase.SETTLED and self._silent_since:
-            if await self._is_reached_by_peer(held.record):
-                # Only this proxy's link is bad: no reason to promote.
+        if current.record.phase is Phase.SETTLED and self._unresponsive_since:
+            if await self._is_reached_by_peer(current.record):
+                # A peer reaches the primary, so only this proxy's network
+                # path is broken.
                 self._keeper.count('failover.vetoed')
                 await self._step_aside()
                 return FAILOVER_RETRY_DELAY_S
         report.phases['decide'] = await curio.clock()
         driver = FailoverDriver(
             self._keeper.databases,
-            self._around.view,
-            self._around.proxy,
-            self._around.journal,
-            self._around.randomness,
+            self._context.view,
+            self._context.proxy,
+            self._context.journal,
+            self._context.randomness,
         )
         if reason == REPLICATION_STALLED:
-            # Whatever it holds beyond the others is not confirmed.
-            report.excluded = held.record.primary
-        is_settled = await driver.run_failover(held, report, handover)
-        self._keeper.adopt_record()
+            # Log entries that only this primary holds are not confirmed.
+            report.excluded = current.record.primary
+        is_settled = await driver.run_failover(current, report, handover)
+        self._keeper.apply_group_record()
         if not is_settled:
             return FAILOVER_RETRY_DELAY_S
         self._keeper.count('failover.settled')
-        self._silent_since = None
+        self._unresponsive_since = None
         self.reports.append(report)
         self._awaited_report = report
         return SUPERVISION_INTERVAL_S
 
     async def _start_peer_check(self, record: GroupRecord) -> None:
-        """Ask peers at the first failure, so that their answer is there."""
+        """Ask peers at the first failed probe, to have their answer early."""
         self._peer_check = await curio.spawn(
-            self._around.ask_peers,
+            self._context.ask_peers,
             record.service,
             record.primary,
             daemon=True,
         )
 
     async def _is_reached_by_peer(self, record: GroupRecord) -> bool:
-        """Tell whether a peer reaches the primary.
+        """Whether a peer can reach the primary.
 
-        An early "no" counts; an early "yes" may rest on an answer from just
-        before the loss, so it is asked for again.
+        An early "no" is final.  An early "yes" may predate the failure, so the
+        peers are asked again.
         """
         early = self._peer_check
         self._peer_check = None
         if early is not None and not await early.join():
             return False
-        reached = await self._around.ask_peers(record.service, record.primary)
+        reached = await self._context.ask_peers(record.service, record.primary)
         return bool(reached)
 
     async def _step_aside(self) -> None:
-        """Leave the service to a proxy that reaches the primary."""
+        """Leave the service to a proxy that can reach the primary."""
         now: float = await curio.clock()
         if now >= self._keeper.unavailable_until:
-            self._around.journal.record(
+            self._context.journal.record(
                 'keeper.steps_aside',
                 service=self._keeper.service.name,
             )
         self._keeper.unavailable_until = now + STEP_ASIDE_DURATION_S
 
-    async def _record_learned(self, held: VersionedRecord) -> None:
-        """Note when the new primary was first seen to lead."""
+    async def _record_learned(self, current: VersionedRecord) -> None:
+        """Record when the new primary was first seen in its term."""
         report = self._awaited_report
-        if report is None or report.term != held.record.term:
+        if report is None or report.term != current.record.term:
             return
-        state = self._keeper.watch.read_state(report.promoted)
+        state = self._keeper.watch.get_state(report.promoted)
         if state is not None and state.is_in_term(report.term):
             report.phases['learn'] = await curio.clock()
             self._awaited_report = None
 
-    async def _mend(self, record: GroupRecord) -> None:
-        """Have databases that follow another term follow this one."""
-        for name, state in self._read_states().items():
+    async def _repoint_stray_replicas(self, record: GroupRecord) -> None:
+        """Repoint databases that are in another term to the primary."""
+        for name, state in self._get_states().items():
             if name == record.primary or state.is_in_term(record.term):
                 continue
             if state.fenced > record.term:
                 continue
             database = self._keeper.databases[name]
             if await repoint_replica(database, record.primary, record.term):
-                self._around.journal.record(
+                self._context.journal.record(
                     'database.follows',
                     database=name,
                     term=record.term,
@@ -341,7 +349,7 @@
 
 
 def _check_primary_state(state: DatabaseState, term: int) -> str:
-    """Return why a primary that answers cannot lead, or nothing."""
+    """Return why a responsive primary cannot lead, or an empty string."""
     if state.fenced > term:
         return f'the primary is fenced at term {state.fenced}'
     if state.role is not Role.PRIMARY or state.term != term:
--- a/deckdrum/keepers/tests/test_guard.py
+++ b/deckdrum/keepers/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""A batch is given up when its database is gone, and not before."""
+"""A batch is abandoned only if its database stops responding."""
 
 from typing import Any
 
@@ -10,43 +10,43 @@
 from deckdrum.utils.virtualtime import run_virtual
 
 
-class SilentKeeper:
-    """A keeper whose probes are not answered."""
+class UnresponsiveKeeper:
+    """Keeper whose database answers no probes."""
 
-    async def has_lost(self, route: Any, *, is_heard: bool) -> bool:
-        """Tell that the database is lost unless its answer goes on."""
-        return not is_heard
+    async def is_route_lost(self, route: Any, *, is_receiving: bool) -> bool:
+        """Report the route as lost unless answer data is arriving."""
+        return not is_receiving
 
 
 class SteadyRelay:
-    """A relay that receives a frame every `pause` seconds for 5 seconds."""
+    """Relay that receives a frame every `interval` seconds for 5 seconds."""
 
-    def __init__(self, pause: float) -> None:
+    def __init__(self, interval: float) -> None:
         self.frames = 0
-        self._pause = pause
+        self._interval = interval
 
     async def run(self) -> RelayResult:
-        """Receive frames and return the end of the answer."""
-        for _ in range(round(5 / self._pause)):
-            await curio.sleep(self._pause)
+        """Receive frames and return the result."""
+        for _ in range(round(5 / self._interval)):
+            await curio.sleep(self._interval)
             self.frames += 1
         return RelayResult('I')
 
 
-def guard(pause: float) -> Any:
-    """Run a relay under the guard."""
+def run_guarded(interval: float) -> Any:
+    """Run a relay with `KeeperSession._run_guarded`."""
     session = KeeperSession.__new__(KeeperSession)
-    keeper: Any = SilentKeeper()
-    relay: Any = SteadyRelay(pause)
+    keeper: Any = UnresponsiveKeeper()
+    relay: Any = SteadyRelay(interval)
     session._keeper = keeper
     route: Any = None
     return run_virtual(session._run_guarded, relay, route)
 
 
 def test_answer_that_goes_on_is_not_given_up() -> None:
-    assert guard(0.2).status == 'I'
+    assert run_guarded(0.2).status == 'I'
 
 
-def test_silent_database_is_given_up() -> None:
+def test_batch_on_unresponsive_database_is_abandoned() -> None:
     with pytest.raises(ConnectionResetError):
-        guard(2.5)
+        run_guarded(2.5)
