--- a/deckdrum/__init__.py
+++ b/deckdrum/__init__.py
@@ -1,3 +1,3 @@
-"""A database proxy fleet with session consistency and fair shares."""
+"""A fleet of database proxies with session consistency and fair sharing."""
 
 __version__ = '0.1.0'
--- a/deckdrum/callers/__init__.py
+++ b/deckdrum/callers/__init__.py
@@ -1,4 +1,4 @@
-"""Callers: their connections, sessions and statements."""
+"""Client-facing side of the proxy: connections, sessions and statements."""
 
 from deckdrum.callers.connection import CallerConnection
 from deckdrum.callers.host import CallerHost
--- a/deckdrum/callers/answers.py
+++ b/deckdrum/callers/answers.py
@@ -1,4 +1,4 @@
-"""Answers that the proxy itself gives to a batch."""
+"""Encoding responses that the proxy produces without a database."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -15,7 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalAnswer:
-    """A command tag and, if `column` is set, one row with one text."""
+    """A response of the proxy itself.
+
+    It is a command tag and, if `column` is set, one row with one text column.
+    """
 
     command: str
     column: str = ''
@@ -26,7 +29,7 @@
 
 
 def encode_refusal(refusal: Refusal, severity: str = 'ERROR') -> bytes:
-    """Return the ErrorResponse of a refusal."""
+    """Encode a refusal as an ErrorResponse."""
     return encode_error(
         refusal.code.value,
         refusal.text,
@@ -36,7 +39,7 @@
 
 
 def encode_answer(frames: list[Frame], answer: LocalAnswer) -> bytes:
-    """Return the answer to each message of a batch, without ReadyForQuery."""
+    """Encode the response to each message of a batch, without ReadyForQuery."""
     parts = []
     for frame in frames:
         build = _BUILDERS.get(frame.tag)
--- a/deckdrum/callers/batches.py
+++ b/deckdrum/callers/batches.py
@@ -1,4 +1,4 @@
-"""Gathering a caller's messages into batches."""
+"""Grouping a caller's protocol messages into batches."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -16,7 +16,7 @@
 from deckdrum.statements import Effect, Statement
 from deckdrum.wire import Frame, FrameReader, WireError, decode_frontend, tags
 
-#: Messages that a batch of the extended protocol may hold.
+#: Limit on the messages of one extended-protocol batch.
 _MAX_FRAMES: Final = 10_000
 _EXTENDED_TAGS: Final = frozenset(
     (
@@ -34,7 +34,7 @@
 
 
 class Handling(StrEnum):
-    """Who handles a batch."""
+    """Which component handles a batch."""
 
     KEEPER = 'keeper'
     LOCAL = 'local'
@@ -48,56 +48,62 @@
     Attributes
     ----------
     frames : list of Frame
-        The messages.
+        The messages, in order.
     statements : list of Statement
-        What its statements do.
-    used : dict of str to PreparedStatement
-        Earlier prepared statements that it names.
-    runs : bool
-        Whether it executes anything.
+        The classified statements.
+    prepared_statements : dict of str to PreparedStatement
+        Previously prepared statements that the batch refers to, by name.
+    executes : bool
+        Whether the batch contains a Query or Execute message.
     """
 
     frames: list[Frame] = field(default_factory=list)
     statements: list[Statement] = field(default_factory=list)
-    used: dict[str, PreparedStatement] = field(default_factory=dict)
-    runs: bool = False
+    prepared_statements: dict[str, PreparedStatement] = field(
+        default_factory=dict
+    )
+    executes: bool = False
 
     @property
     def payload(self) -> bytes:
-        """The messages as bytes."""
+        """The encoded messages."""
         return b''.join(frame.raw for frame in self.frames)
 
     @property
     def handling(self) -> Handling:
-        """Who handles the batch."""
+        """Which component handles the batch."""
         effects = {statement.effect for statement in self.statements}
-        own = effects & {Effect.LOCAL, Effect.SETTING}
-        if Effect.REFUSED in effects or (own and len(self.statements) > 1):
+        local_effects = effects & {Effect.LOCAL, Effect.SETTING}
+        if Effect.REFUSED in effects or (
+            local_effects and len(self.statements) > 1
+        ):
             return Handling.REFUSED
-        return Handling.LOCAL if own or not effects else Handling.KEEPER
+        return (
+            Handling.LOCAL if local_effects or not effects else Handling.KEEPER
+        )
 
     @property
     def is_read(self) -> bool:
-        """Whether all of it only reads."""
+        """Whether all statements only read."""
         return all(each.effect in _READ_EFFECTS for each in self.statements)
 
     @property
     def hints(self) -> frozenset[str]:
-        """Words of leading comments."""
+        """Hints from leading comments of the statements."""
         return frozenset().union(*(each.hints for each in self.statements))
 
 
 class BatchReader:
-    """Reads a caller's batches.
+    """Reads batches from a caller's connection.
 
     Parameters
     ----------
     reader : FrameReader
-        Messages of the caller.
+        Reader of the caller's messages.
     state : CallerState
-        Its session; prepared statements are noted there.
+        The caller's session, in which prepared statements are stored.
     host : CallerHost
-        The proxy, whose classifier tells what statements do.
+        The proxy, which provides the statement classifier.
     """
 
     def __init__(
@@ -110,13 +116,13 @@
         self._state = state
         self._host = host
 
-    async def read(self) -> Batch | None:
-        """Return the next batch, or None once the caller leaves.
+    async def read_batch(self) -> Batch | None:
+        """Return the next batch, or None when the caller disconnects.
 
         Raises
         ------
         WireError
-            If the caller breaks the protocol.
+            If the caller violates the protocol.
         """
         batch = Batch()
         while True:
@@ -128,23 +134,23 @@
                 self._check_simple_query(batch)
                 query = decode_frontend(frame).query_string
                 batch.statements.append(self._host.classifier.classify(query))
-                batch.runs = True
+                batch.executes = True
                 return batch
             if frame.tag in _BATCH_END_TAGS:
                 return batch
-            self._note(frame, batch)
+            self._record_frame(frame, batch)
 
     def _check_simple_query(self, batch: Batch) -> None:
         if len(batch.frames) > 1:
             raise WireError('a simple query came before Sync')
 
-    def _note(self, frame: Frame, batch: Batch) -> None:
+    def _record_frame(self, frame: Frame, batch: Batch) -> None:
         if frame.tag not in _EXTENDED_TAGS:
             raise WireError(f'message {frame.tag!r} is not supported')
         if len(batch.frames) > _MAX_FRAMES:
             raise WireError(f'over {_MAX_FRAMES} messages before Sync')
         if frame.tag == tags.EXECUTE:
-            batch.runs = True
+            batch.executes = True
             return
         message = decode_frontend(frame)
         if frame.tag == tags.PARSE:
@@ -161,15 +167,15 @@
         statement = self._host.classifier.classify(message.query)
         batch.statements.append(statement)
         if message.statement:
-            self._state.define(
+            self._state.add_definition(
                 StatementDefinition(define_statement(message), statement)
             )
 
     def _record_prepared_use(self, name: str, batch: Batch) -> None:
         definition = self._state.definitions.get(name) if name else None
-        if definition is None or name in batch.used:
+        if definition is None or name in batch.prepared_statements:
             return
-        batch.used[name] = definition.prepared
+        batch.prepared_statements[name] = definition.prepared
         batch.statements.append(definition.statement)
 
 
@@ -178,24 +184,24 @@
     state: CallerState,
     document: Document,
 ) -> RunBatch:
-    """Return the message that has a keeper run a batch."""
+    """Build the message that asks a keeper to run a batch."""
     access = Access.WRITE
     max_age: float = 0
     if batch.is_read:
         access = Access.CURRENT
         kind = document.find_read_kind(_read_kind(batch, state))
-        if kind is not None and state.knows_floor:
+        if kind is not None and state.knows_min_position:
             access = Access.BOUNDED_STALENESS
             max_age = kind.max_age
-    floor = state.token.floor(state.service)
+    min_position = state.token.floor(state.service)
     return RunBatch(
         batch.payload,
         access.value,
         max_age,
-        (floor.term, floor.offset),
+        (min_position.term, min_position.offset),
         _is_repeatable(batch, state, document),
         tuple(state.settings.items()),
-        tuple(batch.used.values()),
+        tuple(batch.prepared_statements.values()),
     )
 
 
@@ -216,5 +222,9 @@
     service = document.find_service(state.service)
     if service is None:
         return False
-    once = {table.lower() for table in service.not_repeatable_tables}
-    return not any(once & each.tables for each in batch.statements)
+    not_repeatable_tables = {
+        table.lower() for table in service.not_repeatable_tables
+    }
+    return not any(
+        not_repeatable_tables & each.tables for each in batch.statements
+    )
--- a/deckdrum/callers/connection.py
+++ b/deckdrum/callers/connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: a task that serves batch after batch."""
+"""The connection of one caller, which serves its batches in sequence."""
 
 from typing import Final
 
@@ -29,7 +29,7 @@
 _TRANSACTION_END_COMMANDS: Final = frozenset(
     ('ROLLBACK', 'ABORT', 'COMMIT', 'END')
 )
-#: Transaction status outside any transaction.
+#: ReadyForQuery status outside a transaction.
 _IDLE: Final = 'I'
 _READY_BYTES: Final = 6
 _CLOSE_TAGS: Final = frozenset((tags.CLOSE, tags.SYNC, tags.FLUSH))
@@ -46,7 +46,7 @@
 
 
 class CallerConnection:
-    """Serves one caller.
+    """Serves the connection of one caller.
 
     Parameters
     ----------
@@ -59,26 +59,26 @@
     def __init__(self, host: CallerHost, stream: Stream) -> None:
         self._host = host
         self._stream = stream
-        self._reader = FrameReader(stream, host.limits.message)
+        self._reader = FrameReader(stream, host.limits.max_message_bytes)
         self._is_busy = False
         self._execution: Execution | None = None
-        #: The key by which the caller cancels; set once it has logged in.
+        #: Key of the caller's cancel requests; None until it has logged in.
         self.key: CancelKey | None = None
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request and no transaction is under way."""
+        """Whether no request and no transaction is in progress."""
         is_open = self._execution is not None and self._execution.is_open
         return not self._is_busy and not is_open
 
     async def run(self) -> None:
-        """Serve the caller from start-up to its end."""
+        """Serve the caller until it disconnects or the proxy drains."""
         try:
             await self._run()
         except WireError as error:
             self._host.metrics.count('caller.bad_input')
             refusal = refuse(Code.PROTOCOL_VIOLATION, str(error))
-            await self._say_last(refusal)
+            await self._send_fatal(refusal)
         except ConnectionError:
             self._host.metrics.count('caller.broken')
         finally:
@@ -86,14 +86,14 @@
                 await self._execution.close()
 
     async def cancel(self) -> None:
-        """Cancel the caller's request, if one runs."""
+        """Cancel the caller's running request, if any."""
         if self._execution is not None:
             await self._execution.cancel()
 
     async def close_if_idle(self) -> None:
-        """Tell an idle caller that the proxy stops, and close."""
+        """Send an idle caller a DRAINING error and close its connection."""
         if self.is_idle and self._execution is not None:
-            await self._say_last(refuse(Code.DRAINING))
+            await self._send_fatal(refuse(Code.DRAINING))
             await self._stream.close()
 
     async def _run(self) -> None:
@@ -102,9 +102,9 @@
         if login is None:
             return
         state = self._open_session(login)
-        refusal = state.start(read_options(login.startup))
+        refusal = state.apply_startup_options(read_options(login.startup))
         if refusal is not None:
-            await self._say_last(refusal)
+            await self._send_fatal(refusal)
             return
         self._execution = Execution(self._host, self._stream, state)
         await self._complete_startup(state)
@@ -113,13 +113,13 @@
     async def _serve(self, state: CallerState, execution: Execution) -> None:
         batches = BatchReader(self._reader, state, self._host)
         while not (self._host.is_draining and self.is_idle):
-            batch = await batches.read()
+            batch = await batches.read_batch()
             if batch is None:
                 return
             self._is_busy = True
             await self._handle(batch, state, execution)
             self._is_busy = False
-        await self._say_last(refuse(Code.DRAINING))
+        await self._send_fatal(refuse(Code.DRAINING))
 
     def _open_session(self, login: Login) -> CallerState:
         return CallerState(
@@ -153,7 +153,7 @@
         state: CallerState,
         execution: Execution,
     ) -> None:
-        if state.is_lost and batch.statements:
+        if state.is_transaction_lost and batch.statements:
             payload = _answer_lost_transaction(batch, state)
         elif batch.handling is Handling.REFUSED:
             commands = ', '.join(each.command for each in batch.statements)
@@ -170,7 +170,7 @@
         if payload:
             await self._stream.send(payload)
 
-    async def _say_last(self, refusal: Refusal) -> None:
+    async def _send_fatal(self, refusal: Refusal) -> None:
         try:
             await self._stream.send(encode_refusal(refusal, 'FATAL'))
         except ConnectionError:
@@ -178,13 +178,13 @@
 
 
 def _has_ready(payload: bytes) -> bool:
-    """Tell whether an answer ends with ReadyForQuery already."""
+    """Tell whether a response already ends with ReadyForQuery."""
     ready = payload[-_READY_BYTES:]
     return ready.startswith(tags.READY)
 
 
 def _is_answered_locally(batch: Batch, execution: Execution) -> bool:
-    """Tell whether the proxy itself answers a batch."""
+    """Tell whether the proxy answers a batch without a database."""
     if batch.handling is not Handling.LOCAL:
         return False
     if batch.statements:
@@ -201,10 +201,10 @@
 
 
 def _answer_lost_transaction(batch: Batch, state: CallerState) -> bytes:
-    """Answer a caller whose transaction is gone until it ends it."""
+    """Reject statements of a lost transaction until the caller ends it."""
     commands = {each.command for each in batch.statements}
-    if not batch.runs or not commands <= _TRANSACTION_END_COMMANDS:
+    if not batch.executes or not commands <= _TRANSACTION_END_COMMANDS:
         return encode_error('25P02', _ABORTED)
-    state.is_lost = False
+    state.is_transaction_lost = False
     state.status = _IDLE
     return encode_answer(batch.frames, LocalAnswer('ROLLBACK'))
--- a/deckdrum/callers/execution.py
+++ b/deckdrum/callers/execution.py
@@ -1,4 +1,4 @@
-"""Having a caller's batches run by the keeper of its service."""
+"""Running a caller's batches on the keeper of its service."""
 
 from typing import Final
 
@@ -21,18 +21,18 @@
 from deckdrum.utils import Stream
 from deckdrum.wire import WireError, encode_parameter_status, encode_ready
 
-#: Keepers that a batch may be handed to, one after the other.
+#: Keepers that are tried in turn for one batch.
 _MAX_KEEPER_ATTEMPTS: Final = 3
-#: Silence of a keeper after which it is asked whether it runs, in seconds.
-_SILENCE: Final = 1.0
+#: Time without a message after which the keeper is sent a heartbeat.
+_SILENCE_TIMEOUT_S: Final = 1.0
 _IDLE: Final = 'I'
 _FAILED: Final = 'E'
-#: Refusals by which a keeper says that another one should be asked.
+#: Refusals after which another keeper is tried.
 _RETRY_ELSEWHERE_CODES: Final = frozenset((Code.DRAINING, Code.NO_KEEPER))
 
 
 class CallerLeftError(Exception):
-    """The caller closed its connection while rows were on their way."""
+    """The caller disconnected while rows were being sent to it."""
 
 
 class Execution:
@@ -45,7 +45,7 @@
     stream : Stream
         The caller's connection.
     state : CallerState
-        Its session.
+        The caller's session.
     """
 
     def __init__(
@@ -61,21 +61,21 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether a request or a transaction is under way."""
+        """Whether a request or a transaction is in progress."""
         return self._opened is not None
 
     async def run(self, batch: Batch) -> bytes:
-        """Run a batch; its rows go to the caller while they arrive.
+        """Run a batch and stream its rows to the caller.
 
         Returns
         -------
         bytes
-            What ends the answer; empty after a Flush that succeeded.
+            The end of the response; empty after a successful Flush.
 
         Raises
         ------
         ConnectionError
-            If the caller has left.
+            If the caller has disconnected.
         """
         document = self._host.document
         if document is None:
@@ -93,22 +93,22 @@
         ).observe(seconds)
         if isinstance(end, BatchEnd):
             return await self._finish(end)
-        return await self._fail(end)
+        return await self._apply_refusal(end)
 
     async def cancel(self) -> None:
-        """Cancel what runs, if anything."""
+        """Cancel the running batch, if any."""
         if self._opened is not None:
             await self._host.cancel_channel(self._opened)
 
     async def close(self) -> None:
-        """Close the channel; an open transaction is rolled back."""
+        """Close the channel, which rolls back an open transaction."""
         opened = self._opened
         self._opened = None
         if opened is not None:
             await opened.channel.close()
 
     async def _run_on_any_keeper(self, message: RunBatch) -> BatchEnd | Refusal:
-        """Ask keepers one after the other until one has run the batch."""
+        """Try keepers in turn until one has run the batch."""
         end: BatchEnd | Refusal = refuse(Code.NO_KEEPER)
         for _ in range(_MAX_KEEPER_ATTEMPTS):
             opened = self._opened or await self._host.open_channel(
@@ -124,7 +124,7 @@
             await self._host.suspect(opened.keeper)
             await self.close()
             if not message.repeatable:
-                # Sent once, ever: not to a second keeper either.
+                # Must be sent only once, so no other keeper is tried.
                 break
         return end
 
@@ -133,36 +133,38 @@
         message: RunBatch,
         opened: OpenedChannel,
     ) -> BatchEnd | Refusal:
-        """Have one keeper run a batch; pass its rows to the caller."""
-        touched = False
+        """Run a batch on one keeper and forward its rows to the caller."""
+        has_forwarded_rows = False
         try:
             await opened.channel.send(message)
             while True:
                 answer = await self._receive(opened)
                 if not isinstance(answer, Rows):
                     return self._decode_end(answer)
-                touched = True
-                await self._pass_rows(answer)
+                has_forwarded_rows = True
+                await self._forward_rows(answer)
         except CallerLeftError as error:
-            raise ConnectionResetError('the caller left') from error
+            raise ConnectionResetError('the caller disconnected') from error
         except ConnectionError as error:
             await self._host.suspect(opened.keeper)
             is_change = message.access == Access.WRITE
-            # A read that nobody has seen may be asked of another keeper.
-            is_lost = is_change or touched
-            code = Code.CONNECTION_LOST if is_lost else Code.NO_KEEPER
+            # A read without forwarded rows can be retried on another keeper.
+            is_outcome_unknown = is_change or has_forwarded_rows
+            code = (
+                Code.CONNECTION_LOST if is_outcome_unknown else Code.NO_KEEPER
+            )
             return refuse(code, f'keeper {opened.keeper}: {error}')
 
     async def _receive(self, opened: OpenedChannel) -> Message:
-        """Return the keeper's next message; ask after it while it is silent.
+        """Return the keeper's next message; send heartbeats while waiting.
 
         Raises
         ------
         ConnectionError
-            If the channel is broken or the keeper's process does not run.
+            If the channel is broken or the keeper's process is unresponsive.
         """
         while True:
-            async with curio.ignore_after(_SILENCE):
+            async with curio.ignore_after(_SILENCE_TIMEOUT_S):
                 return await opened.channel.receive()
             if not await self._host.is_running(opened.keeper):
                 raise ConnectionResetError('its process does not answer')
@@ -173,17 +175,19 @@
         if not isinstance(answer, BatchRefused):
             raise WireError(f'the keeper sent {type(answer).__name__}')
         if answer.lost_transaction:
-            self._state.is_lost = True
-        told = refuse(Code(answer.code))
-        return Refusal(told.code, told.fate, answer.text, told.retry_after)
+            self._state.is_transaction_lost = True
+        default = refuse(Code(answer.code))
+        return Refusal(
+            default.code, default.fate, answer.text, default.retry_after
+        )
 
     def _should_try_another_keeper(self, end: BatchEnd | Refusal) -> bool:
-        """Tell whether another keeper should be asked."""
+        """Tell whether another keeper should be tried."""
         if isinstance(end, BatchEnd) or self._state.status != _IDLE:
             return False
         return end.code in _RETRY_ELSEWHERE_CODES
 
-    async def _pass_rows(self, rows: Rows) -> None:
+    async def _forward_rows(self, rows: Rows) -> None:
         try:
             await self._stream.send(rows.payload)
         except ConnectionError as error:
@@ -191,10 +195,10 @@
 
     async def _finish(self, end: BatchEnd) -> bytes:
         state = self._state
-        state.good_settings = dict(state.settings)
+        state.accepted_settings = dict(state.settings)
         parts = []
         if state.token.advance(state.service, Position(*end.floor)):
-            state.knows_floor = True
+            state.knows_min_position = True
             parts.append(
                 encode_parameter_status(
                     SESSION, state.token.encode(state.ring)
@@ -206,17 +210,17 @@
         if end.status == _IDLE and self._opened is not None:
             opened = self._opened
             self._opened = None
-            await self._host.keep_channel(opened)
+            await self._host.release_channel(opened)
         return b''.join(parts)
 
-    async def _fail(self, refusal: Refusal) -> bytes:
-        """Note what a refusal means for the session; return the error."""
+    async def _apply_refusal(self, refusal: Refusal) -> bytes:
+        """Update the session after a refusal; return the encoded error."""
         state = self._state
         if refusal.code is Code.BAD_SETTING:
-            state.settings = dict(state.good_settings)
+            state.settings = dict(state.accepted_settings)
         if refusal.code is Code.CONNECTION_LOST and state.status != _IDLE:
-            state.is_lost = True
-        if state.is_lost:
+            state.is_transaction_lost = True
+        if state.is_transaction_lost:
             state.status = _FAILED
         elif state.status != _IDLE:
             state.status = _IDLE
--- a/deckdrum/callers/host.py
+++ b/deckdrum/callers/host.py
@@ -1,4 +1,4 @@
-"""What a caller's connection needs of its proxy."""
+"""Interface between a caller's connection and its proxy."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds for one caller; times in seconds, sizes in bytes."""
+    """Limits for one caller connection."""
 
-    login: float
-    message: int
+    login_timeout_s: float
+    max_message_bytes: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelKey:
-    """The key by which a caller cancels its request."""
+    """The key that authorizes a caller's cancel request."""
 
     process: int
     secret: bytes
@@ -31,16 +31,17 @@
 class OpenedChannel:
     """A channel to the keeper of a service.
 
-    `keeper` is the name of the proxy that keeps the service.
+    The keeper of a service is the proxy that holds its database connections;
+    `keeper` is the name of that proxy.
     """
 
     channel: Channel
-    number: str
+    channel_id: str
     keeper: str
 
 
 class CallerHost(ABC):
-    """The proxy, as its callers' connections see it."""
+    """What a proxy provides to the connections of its callers."""
 
     limits: CallerLimits
     ring: KeyRing
@@ -50,12 +51,12 @@
     @property
     @abstractmethod
     def document(self) -> Document | None:
-        """The configuration in force, or None before the first."""
+        """The active configuration, or None if none was received yet."""
 
     @property
     @abstractmethod
     def is_draining(self) -> bool:
-        """Whether a planned stop is under way."""
+        """Whether a planned shutdown is in progress."""
 
     @abstractmethod
     async def open_channel(
@@ -66,24 +67,24 @@
         """Open a channel to the keeper of a service."""
 
     @abstractmethod
-    async def keep_channel(self, opened: OpenedChannel) -> None:
-        """Take back a channel on which nothing is under way."""
+    async def release_channel(self, opened: OpenedChannel) -> None:
+        """Return an idle channel for reuse."""
 
     @abstractmethod
     async def suspect(self, keeper: str) -> None:
-        """Pass a keeper over for a while."""
+        """Mark a keeper as suspected, so that it is tried last for a while."""
 
     @abstractmethod
     async def is_running(self, keeper: str) -> bool:
-        """Tell whether a keeper's process runs, by a heartbeat."""
+        """Tell whether a keeper's process answers a heartbeat."""
 
     @abstractmethod
     async def cancel_channel(self, opened: OpenedChannel) -> None:
-        """Cancel what runs on a channel."""
+        """Cancel the batch that runs on a channel."""
 
     @abstractmethod
     async def cancel(self, key: CancelKey) -> None:
-        """Cancel the request of the caller who holds `key`."""
+        """Cancel the request of the caller with `key`."""
 
     @abstractmethod
     def make_key(self) -> CancelKey:
--- a/deckdrum/callers/local.py
+++ b/deckdrum/callers/local.py
@@ -1,4 +1,4 @@
-"""Statements that concern the session only and never reach a database."""
+"""Execution of statements that affect only the session state of the proxy."""
 
 from collections.abc import Callable, Mapping
 from types import MappingProxyType
@@ -11,26 +11,26 @@
 from deckdrum.statements import Effect, Statement
 
 _IDLE: Final = 'I'
-_Step = Callable[[Statement, CallerState], Refusal | None]
+_Executor = Callable[[Statement, CallerState], Refusal | None]
 
 
 def execute_locally(
     batch: Batch,
     state: CallerState,
 ) -> LocalAnswer | Refusal:
-    """Carry out a batch with one statement on the session.
+    """Execute a batch of one statement on the session state.
 
     Parameters
     ----------
     batch : Batch
-        The batch; it changes something only if it runs the statement.
+        The batch; the session changes only if the batch executes it.
     state : CallerState
         The session.
 
     Returns
     -------
     LocalAnswer or Refusal
-        What to answer.
+        The response.
     """
     if not batch.statements:
         return LocalAnswer('')
@@ -38,28 +38,28 @@
     if statement.command == 'SHOW':
         return _show(statement, state)
     if statement.effect is Effect.SETTING and state.status != _IDLE:
-        told = 'SET inside a transaction; use SET LOCAL'
-        return refuse(Code.NOT_SUPPORTED, told)
-    if batch.runs:
-        refusal = _STEPS[statement.command](statement, state)
+        detail = 'SET inside a transaction; use SET LOCAL'
+        return refuse(Code.NOT_SUPPORTED, detail)
+    if batch.executes:
+        refusal = _EXECUTORS[statement.command](statement, state)
         if refusal is not None:
             return refusal
     return LocalAnswer(statement.command)
 
 
 def _show(statement: Statement, state: CallerState) -> LocalAnswer | Refusal:
-    text = state.read(statement.name)
+    text = state.read_setting(statement.name)
     if text is None:
         return refuse(Code.BAD_SETTING, f'{statement.name} is unknown')
     return LocalAnswer('SHOW', statement.name, text)
 
 
 def _set(statement: Statement, state: CallerState) -> Refusal | None:
-    return state.change(statement.name, statement.argument)
+    return state.change_setting(statement.name, statement.argument)
 
 
 def _reset(statement: Statement, state: CallerState) -> None:
-    state.reset(statement.name)
+    state.reset_setting(statement.name)
 
 
 def _deallocate(statement: Statement, state: CallerState) -> None:
@@ -68,10 +68,10 @@
 
 def _discard(statement: Statement, state: CallerState) -> None:
     state.deallocate('ALL')
-    state.reset('all')
+    state.reset_setting('all')
 
 
-_STEPS: Final[Mapping[str, _Step]] = MappingProxyType(
+_EXECUTORS: Final[Mapping[str, _Executor]] = MappingProxyType(
     {
         'SET': _set,
         'RESET': _reset,
--- a/deckdrum/callers/login.py
+++ b/deckdrum/callers/login.py
@@ -1,4 +1,4 @@
-"""Start-up and log-in of a caller."""
+"""Start-up and authentication of a caller."""
 
 import hashlib
 from base64 import b64decode
@@ -20,14 +20,14 @@
 _MECHANISM: Final = scramp.ScramMechanism('SCRAM-SHA-256')
 _ITERATIONS: Final = 4096
 _SALT_BYTES: Final = 16
-#: Requests for encryption that a caller may make before it starts up.
+#: SSLRequest and GSSENCRequest messages accepted before the start-up.
 _MAX_ENCRYPTION_REQUESTS: Final = 2
 _NO_ENCRYPTION: Final = b'N'
 
 
 @dataclass(frozen=True, slots=True)
 class ScramRecord:
-    """What a server keeps of a password."""
+    """The SCRAM verifier that a server stores for a password."""
 
     salt: bytes
     stored_key: bytes
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Login:
-    """A caller that has logged in."""
+    """An authenticated user and its start-up parameters."""
 
     user: User
     startup: dict[str, str]
 
 
 class LoginTask:
-    """Logs one caller in.
+    """Authenticates one caller.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
     stream : Stream
         The caller's connection.
     reader : FrameReader
-        Its messages.
+        Reader of the caller's messages.
     """
 
     def __init__(
@@ -67,14 +67,14 @@
         self._reader = reader
 
     async def run(self) -> Login | None:
-        """Return the login, or None if the caller was turned away.
+        """Return the login, or None if the caller was rejected.
 
         Raises
         ------
         WireError
-            If the caller breaks the protocol.
+            If the caller violates the protocol.
         """
-        async with curio.ignore_after(self._host.limits.login):
+        async with curio.ignore_after(self._host.limits.login_timeout_s):
             return await self._run()
         self._host.metrics.count('caller.login_timeout')
         return None
@@ -88,13 +88,13 @@
             await self._send_refusal(refuse(Code.DRAINING))
             return None
         if document is None:
-            told = 'no configuration is in force'
-            await self._send_refusal(refuse(Code.NOT_CONFIGURED, told))
+            detail = 'no configuration is in force'
+            await self._send_refusal(refuse(Code.NOT_CONFIGURED, detail))
             return None
         return await self._authenticate(startup.params, document)
 
     async def _negotiate(self) -> Any:
-        """Answer requests for encryption and cancel; return the start-up."""
+        """Handle encryption and cancel requests; return the start-up."""
         for _ in range(_MAX_ENCRYPTION_REQUESTS + 1):
             body = await self._reader.read_startup()
             if body is None:
@@ -123,16 +123,16 @@
             return None
         service = startup.get('database', name)
         if document.find_service(service) is None:
-            told = f'service {service!r}'
-            await self._send_refusal(refuse(Code.NOT_CONFIGURED, told))
+            detail = f'service {service!r}'
+            await self._send_refusal(refuse(Code.NOT_CONFIGURED, detail))
             return None
         return Login(user, startup)
 
     def _get_scram_record(self, name: str, user: User | None) -> ScramRecord:
-        """Return the record to check against.
+        """Return the record to check the password against.
 
-        An unknown user gets a made-up record, always the same, so that
-        neither time nor message tells whether a user exists.
+        An unknown user gets a deterministic fake record, so that neither the
+        timing nor the error reveals whether a user exists.
         """
         if user is not None:
             return decode_verifier(user.verifier)
@@ -141,15 +141,15 @@
         return ScramRecord(salt, digest, digest, _ITERATIONS)
 
     async def _check_password(self, record: ScramRecord) -> bool:
-        secrets = (
+        credentials = (
             record.salt,
             record.stored_key,
             record.server_key,
             record.iterations,
         )
-        server = _MECHANISM.make_server(lambda name: secrets)
-        offer = codec.AuthenticationSASL(mechanisms=[_MECHANISM.name])
-        await self._stream.send(offer.to_wire())
+        server = _MECHANISM.make_server(lambda name: credentials)
+        mechanism_offer = codec.AuthenticationSASL(mechanisms=[_MECHANISM.name])
+        await self._stream.send(mechanism_offer.to_wire())
         try:
             return await self._exchange(server)
         except (scramp.ScramException, UnicodeDecodeError):
@@ -185,7 +185,7 @@
 
 
 def decode_verifier(text: str) -> ScramRecord:
-    """Read a verifier in the form that PostgreSQL stores.
+    """Parse a SCRAM verifier in the format of PostgreSQL's ``pg_authid``.
 
     Examples
     --------
@@ -205,7 +205,7 @@
 
 
 def make_verifier(password: str, salt: bytes) -> str:
-    """Return the verifier of a password.
+    """Return the SCRAM verifier of a password.
 
     Parameters
     ----------
@@ -215,11 +215,11 @@
         At least 16 random bytes.
     """
     if len(salt) < _SALT_BYTES:
-        raise ValueError(f'{len(salt)} bytes of salt, expected 16')
-    made = _MECHANISM.make_auth_info(password, salt=salt)
+        raise ValueError(f'salt has {len(salt)} bytes, expected at least 16')
+    auth_info = _MECHANISM.make_auth_info(password, salt=salt)
     encoded = [
         scramp.utils.b64enc(part) if isinstance(part, bytes) else str(part)
-        for part in made
+        for part in auth_info
     ]
     salt_text, stored_key, server_key, iterations = encoded
     salted = f'{iterations}:{salt_text}'
--- a/deckdrum/callers/state.py
+++ b/deckdrum/callers/state.py
@@ -1,4 +1,4 @@
-"""The session of one caller on one proxy."""
+"""Session state of one caller on one proxy."""
 
 import shlex
 from collections.abc import Mapping
@@ -14,11 +14,11 @@
 SESSION_NAME: Final = 'deckdrum.session_name'
 READ_KIND: Final = 'deckdrum.read_kind'
 REPEATABLE: Final = 'deckdrum.repeatable'
-#: The kind of read that sees every acknowledged change.
+#: Read kind that includes every acknowledged change.
 CURRENT_READ_KIND: Final = 'current'
-#: Settings that a session may replay at most.
+#: Limit on the settings that are replayed on each database connection.
 MAX_REPLAYED_SETTINGS: Final = 64
-#: Prepared statements that a session may hold at most.
+#: Limit on the prepared statements of a session.
 MAX_PREPARED_STATEMENTS: Final = 1000
 #: Start-up parameters that are not session settings.
 _NON_SETTING_PARAMETERS: Final = frozenset(
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatementDefinition:
-    """A caller's prepared statement and what it does."""
+    """A prepared statement and its classification."""
 
     prepared: PreparedStatement
     statement: Statement
@@ -43,16 +43,17 @@
 
 @dataclass(slots=True)
 class CallerState:
-    """What a proxy remembers of a caller's session.
+    """State of a caller's session.
 
     Attributes
     ----------
     status : str
         Transaction status: ``I``, ``T`` or ``E``.
-    is_lost : bool
-        The transaction is gone on the database; the caller has yet to end it.
-    knows_floor : bool
-        Whether the token covers all that the session has done so far.
+    is_transaction_lost : bool
+        Whether the open transaction was lost and the caller has yet to end it.
+    knows_min_position : bool
+        Whether the token covers all earlier changes of the session, and so
+        gives the position that a read must include.
     """
 
     user: str
@@ -64,28 +65,30 @@
     is_repeatable: bool = True
     session_name: str = ''
     settings: dict[str, str] = field(default_factory=dict)
-    good_settings: dict[str, str] = field(default_factory=dict)
+    accepted_settings: dict[str, str] = field(default_factory=dict)
     definitions: dict[str, StatementDefinition] = field(default_factory=dict)
     status: str = 'I'
-    is_lost: bool = False
-    knows_floor: bool = True
+    is_transaction_lost: bool = False
+    knows_min_position: bool = True
 
-    def start(self, options: Mapping[str, str]) -> Refusal | None:
-        """Take over the options of the start-up message."""
+    def apply_startup_options(
+        self, options: Mapping[str, str]
+    ) -> Refusal | None:
+        """Apply the settings of the start-up message."""
         for name, text in options.items():
-            refusal = self.change(name, text)
+            refusal = self.change_setting(name, text)
             if refusal is not None:
                 return refusal
-        self.good_settings = dict(self.settings)
+        self.accepted_settings = dict(self.settings)
         return None
 
-    def change(self, name: str, text: str) -> Refusal | None:
+    def change_setting(self, name: str, text: str) -> Refusal | None:
         """Change a setting of the session.
 
         Returns
         -------
         Refusal or None
-            Why it cannot be changed.
+            The reason if the setting was rejected.
         """
         if name == SESSION:
             return self._merge_token(text)
@@ -95,22 +98,22 @@
             self.is_repeatable = text.lower() not in _OFF_WORDS
         elif name == SESSION_NAME:
             self.session_name = text
-            self.knows_floor = bool(self.token.positions)
+            self.knows_min_position = bool(self.token.positions)
         elif name.startswith('deckdrum.'):
             return refuse(Code.BAD_SETTING, f'{name} is unknown')
         else:
             return self._change_replayed_setting(name, text)
         return None
 
-    def reset(self, name: str) -> None:
-        """Forget a setting, or all that are replayed."""
+    def reset_setting(self, name: str) -> None:
+        """Remove a replayed setting, or all of them."""
         if name == 'all':
             self.settings.clear()
         else:
             self.settings.pop(name, None)
 
-    def read(self, name: str) -> str | None:
-        """Return the text of one of the product's own settings."""
+    def read_setting(self, name: str) -> str | None:
+        """Return the value of a ``deckdrum.*`` setting, or None if unknown."""
         return {
             SESSION: self.token.encode(self.ring),
             SESSION_NAME: self.session_name,
@@ -118,14 +121,14 @@
             REPEATABLE: 'on' if self.is_repeatable else 'off',
         }.get(name)
 
-    def define(self, definition: StatementDefinition) -> None:
-        """Remember a prepared statement; the oldest goes if too many."""
+    def add_definition(self, definition: StatementDefinition) -> None:
+        """Store a prepared statement; evict the oldest beyond the limit."""
         self.definitions[definition.prepared.name] = definition
         if len(self.definitions) > MAX_PREPARED_STATEMENTS:
             self.definitions.pop(next(iter(self.definitions)))
 
     def deallocate(self, name: str) -> None:
-        """Forget a prepared statement, or all."""
+        """Remove a prepared statement, or all of them."""
         if name.upper() == 'ALL':
             self.definitions.clear()
         else:
@@ -136,13 +139,13 @@
             self.token.merge(Token.decode(text, self.ring))
         except BadTokenError as error:
             return refuse(Code.BAD_SETTING, str(error))
-        self.knows_floor = True
+        self.knows_min_position = True
         return None
 
     def _change_replayed_setting(self, name: str, text: str) -> Refusal | None:
         if name == 'client_encoding':
-            plain = text.lower().replace('-', '').strip('\'"')
-            if plain == 'utf8':
+            encoding = text.lower().replace('-', '').strip('\'"')
+            if encoding == 'utf8':
                 return None
             return refuse(Code.BAD_SETTING, f'{name} {text!r}, expected UTF8')
         if (
@@ -155,7 +158,7 @@
 
 
 def read_options(startup: Mapping[str, str]) -> dict[str, str]:
-    """Return the session settings of a start-up message.
+    """Return the session settings in the parameters of a start-up message.
 
     Examples
     --------
--- a/deckdrum/callers/tests/test_golden.py
+++ b/deckdrum/callers/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions; rewrite with ``--force-regen``."""
+"""Golden files of complete sessions; regenerate them with ``--force-regen``."""
 
 from collections.abc import Awaitable, Callable
 
@@ -74,19 +74,19 @@
     await scribe.query('grower', 'SELECT * FROM fees')
 
 
-SESSIONS = (book_and_roam, roll_back, refuse, lose_the_primary)
+SCENARIOS = (book_and_roam, roll_back, refuse, lose_the_primary)
 
 
-@pytest.mark.parametrize('play', SESSIONS, ids=lambda each: each.__name__)
+@pytest.mark.parametrize('scenario', SCENARIOS, ids=lambda each: each.__name__)
 def test_session(
-    play: Callable[[SessionRecorder, Deployment], Awaitable[None]],
+    scenario: Callable[[SessionRecorder, Deployment], Awaitable[None]],
     file_regression: FileRegressionFixture,
 ) -> None:
     async def main() -> str:
         deployment = Deployment(Layout(services=('stalls',)))
         await deployment.start()
         scribe = SessionRecorder(deployment)
-        await play(scribe, deployment)
+        await scenario(scribe, deployment)
         await deployment.close()
         return scribe.text
 
--- a/deckdrum/callers/tests/test_protocol.py
+++ b/deckdrum/callers/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Bad input: counted, answered, never harming another caller."""
+"""Malformed input is counted and answered, and affects no other caller."""
 
 from collections.abc import Awaitable, Callable
 from random import Random
@@ -31,7 +31,7 @@
     return [caller.key for caller in registry.callers]
 
 
-def count_held(deployment: Deployment) -> int:
+def count_held_connections(deployment: Deployment) -> int:
     keeper = deployment.proxies['p1'].keeper_manager.keepers['stalls']
     return sum(pool.queue.held for pool in keeper.pools.values())
 
@@ -50,7 +50,7 @@
         STARTUP + b'p\x7f\xff\xff\xff',
     ],
 )
-def test_bad_start_harms_nobody(payload: bytes) -> None:
+def test_malformed_startup_affects_no_other_caller(payload: bytes) -> None:
     async def check(deployment: Deployment) -> None:
         good = await deployment.connect('p1')
         stream = await dial(deployment.proxies['p1'].address, 1)
@@ -78,7 +78,7 @@
         b'Q\x7f\xff\xff\xff' + b'x' * 100,
     ],
 )
-def test_bad_message_is_counted_and_told(payload: bytes) -> None:
+def test_malformed_message_is_counted_and_answered(payload: bytes) -> None:
     async def check(deployment: Deployment) -> None:
         good = await deployment.connect('p1')
         bad = await deployment.connect('p1')
@@ -93,7 +93,7 @@
     run_with_fleet(check)
 
 
-def test_random_bytes_never_stop_the_proxy() -> None:
+def test_proxy_survives_random_bytes() -> None:
     async def check(deployment: Deployment) -> None:
         randomness = Random(7)
         address = deployment.proxies['p1'].address
@@ -113,12 +113,12 @@
     run_with_fleet(check)
 
 
-def test_slow_login_is_ended() -> None:
+def test_slow_login_times_out() -> None:
     async def check(deployment: Deployment) -> None:
         proxy = deployment.proxies['p1']
         stream = await dial(proxy.address, 1)
         await stream.send(STARTUP[:6])
-        await curio.sleep(proxy.limits.login + 1)
+        await curio.sleep(proxy.limits.login_timeout_s + 1)
         assert await stream.receive() == b''
         assert proxy.metrics.read_event('caller.login_timeout') == 1
 
@@ -142,8 +142,8 @@
     run_with_fleet(check)
 
 
-def test_slow_reader_holds_its_own_answer_only() -> None:
-    """A caller that does not read must not fill the proxy's memory."""
+def test_slow_reader_delays_only_its_own_response() -> None:
+    """A caller that does not read must not exhaust the proxy's memory."""
 
     async def check(deployment: Deployment) -> None:
         slow = await deployment.connect('p1')
@@ -155,13 +155,13 @@
         message = codec.Query(query_string=query)
         await slow.link.send(message.to_wire())
         await curio.sleep(1)
-        # The database is held back too: its connection is still in use.
-        assert count_held(deployment) == 1
+        # Backpressure reaches the database: its connection is still in use.
+        assert count_held_connections(deployment) == 1
         assert await other.read_one('SELECT 6') == '6'
-        seen: list[bytes] = []
-        while not seen or seen[-1] != b'Z':
-            seen.append((await slow.link.read_frame()).tag)
-        assert seen.count(b'D') == 4000
+        received_tags: list[bytes] = []
+        while not received_tags or received_tags[-1] != b'Z':
+            received_tags.append((await slow.link.read_frame()).tag)
+        assert received_tags.count(b'D') == 4000
 
     run_with_fleet(check)
 
@@ -174,14 +174,14 @@
         await client.link.send(
             parse.to_wire() + describe.to_wire() + codec.Flush().to_wire(),
         )
-        seen = [(await client.link.read_frame()).tag for _ in range(3)]
-        assert seen == [b'1', b't', b'T']
+        received_tags = [(await client.link.read_frame()).tag for _ in range(3)]
+        assert received_tags == [b'1', b't', b'T']
         await client.link.send(
             codec.Bind(statement='s').to_wire()
             + codec.Execute().to_wire()
             + codec.Sync().to_wire(),
         )
-        seen = [(await client.link.read_frame()).tag for _ in range(5)]
-        assert seen == [b'2', b'D', b'C', b'S', b'Z']
+        received_tags = [(await client.link.read_frame()).tag for _ in range(5)]
+        assert received_tags == [b'2', b'D', b'C', b'S', b'Z']
 
     run_with_fleet(check)
--- a/deckdrum/conftest.py
+++ b/deckdrum/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that fail for known faults: they are passed over, and printed.
+"""Expected failures: tests listed in ``KNOWN-RED.txt`` at the repository root.
 
-``KNOWN-RED.txt`` at the root lists them, an entry each.  One that passes fails
-the run: its entry has to go.
+They are marked as strict xfail, so a listed test that passes fails the run
+until its entry is removed.  The list is printed at the end of the run.
 """
 
 from functools import cache
@@ -10,37 +10,37 @@
 
 import pytest
 
-_LIST: Final = Path(__file__).parent.parent / 'KNOWN-RED.txt'
-_TEST: Final = 'test: '
+_KNOWN_RED_FILE: Final = Path(__file__).parent.parent / 'KNOWN-RED.txt'
+_TEST_PREFIX: Final = 'test: '
 
 
 def _read_list() -> str:
-    return _LIST.read_text() if _LIST.exists() else ''
+    return _KNOWN_RED_FILE.read_text() if _KNOWN_RED_FILE.exists() else ''
 
 
 @cache
-def _read_tests() -> frozenset[str]:
-    """Return the node ids that stand in the list."""
+def _read_known_tests() -> frozenset[str]:
+    """Return the listed node ids."""
     return frozenset(
-        line.removeprefix(_TEST).strip()
+        line.removeprefix(_TEST_PREFIX).strip()
         for line in _read_list().splitlines()
-        if line.startswith(_TEST)
+        if line.startswith(_TEST_PREFIX)
     )
 
 
 def pytest_itemcollected(item: pytest.Item) -> None:  # noqa: WPS110
-    """Expect a listed test to fail, with any parameters or with its own."""
-    known = _read_tests()
-    plain = item.nodeid.partition('[')[0]
-    if item.nodeid in known or plain in known:
-        reason = 'stands in KNOWN-RED.txt'
+    """Mark a test as xfail if it is listed with or without its parameters."""
+    known_tests = _read_known_tests()
+    base_id = item.nodeid.partition('[')[0]
+    if item.nodeid in known_tests or base_id in known_tests:
+        reason = 'listed in KNOWN-RED.txt'
         item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter,
 ) -> None:
-    """Print the list."""
+    """Print the list of known failures."""
     text = _read_list().strip()
     if text:
         terminalreporter.section('known to fail')
--- a/deckdrum/deferral.py
+++ b/deckdrum/deferral.py
@@ -1,11 +1,11 @@
-"""Loading modules of the standard library at their first use.
+"""Lazy import of standard library modules.
 
-curio imports what only its bridges to threads, processes and other event
-loops need, which a node never uses.  A node that lost power answers nobody
-while it imports, so these modules wait until something of them is asked for.
+curio imports modules that only its bridges to threads, processes and other
+event loops need, which a node never uses.  Loading them on first use shortens
+the restart of a node.
 
-`importlib.util.LazyLoader` does not serve here: CPython 3.11 looks at the
-specification of a module at each import of it, which already loads it.
+`importlib.util.LazyLoader` is not usable here: each import statement in
+CPython 3.11 reads the module's ``__spec__``, which already loads the module.
 """
 
 import sys
@@ -15,16 +15,16 @@
 from types import ModuleType
 from typing import Any, Final
 
-#: What curio imports and a node does not use; all else that it does not use,
-#: curio looks into while it is imported.
+#: Modules that curio imports and a node does not use.  Others that a node does
+#: not use cannot be deferred, since curio accesses them during its import.
 UNUSED_BY_NODES: Final = ('asyncio',)
 
 
 def defer_imports(names: Iterable[str]) -> None:
-    """Have modules loaded when something of them is first used.
+    """Defer loading of modules until an attribute of them is first used.
 
-    Those that are loaded already stay as they are.  A name without a module
-    is found out at the first use.
+    Modules that are already loaded are unaffected.  A module that does not
+    exist raises its error at the first use.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
 
 
 def _load(placeholder: ModuleType, attribute: str) -> Any:
-    """Load the module of a placeholder, and return an attribute of it."""
+    """Load the module behind a placeholder and return one of its attributes."""
     name = placeholder.__name__
     if sys.modules.get(name) is placeholder:
         sys.modules.pop(name)
--- a/deckdrum/proxy/__init__.py
+++ b/deckdrum/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""One proxy process: entry for callers and keeper of services."""
+"""A proxy process, which accepts callers and serves as keeper of services."""
 
 from deckdrum.proxy.core import Proxy
 
--- a/deckdrum/proxy/admin.py
+++ b/deckdrum/proxy/admin.py
@@ -1,4 +1,4 @@
-"""The admin port of a proxy: metrics, health, status and draining."""
+"""HTTP admin interface of a proxy: metrics, health, status and draining."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from dataclasses import asdict
@@ -19,12 +19,12 @@
 _NOT_FOUND: Final = 404
 _UNAVAILABLE: Final = 503
 _PROMETHEUS: Final = 'text/plain; version=0.0.4; charset=utf-8'
-#: Decisions shown for one service.
-_SHOWN: Final = 50
+#: Limit on the routing decisions that ``GET /explain`` returns.
+_MAX_SHOWN_DECISIONS: Final = 50
 
 
 class AdminPort:
-    """Answers operators and Prometheus.
+    """Serves the admin requests of operators and Prometheus.
 
     Parameters
     ----------
@@ -35,25 +35,25 @@
     def __init__(self, proxy: 'Proxy') -> None:
         self._proxy = proxy
         address = Address.parse(proxy.settings.admin_listen)
-        self._server = HttpServer(address, self._answer)
+        self._server = HttpServer(address, self._handle_request)
 
     @property
     def address(self) -> Address:
-        """Where the proxy listens for operators."""
+        """Address of the admin interface."""
         return self._server.address
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         await self._server.start()
 
     async def close(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         await self._server.close()
 
     async def handle_metrics(self, request: Request) -> Reply:
         """Answer ``GET /metrics``."""
         proxy = self._proxy
-        present = {
+        gauge_values = {
             'callers': len(proxy.registry.callers),
             'configuration_number': proxy.view.number,
             'platform_reachable': int(proxy.view.is_reachable),
@@ -61,17 +61,17 @@
             'peer_messages': proxy.peers.control_messages,
             'kept_services': len(proxy.keeper_manager.keepers),
         }
-        for name, number in present.items():
+        for name, number in gauge_values.items():
             proxy.metrics.gauges.labels(name).set(number)
         headers = {'content-type': _PROMETHEUS}
         return Reply(_OK, proxy.metrics.render(), headers)
 
     async def handle_health(self, request: Request) -> Reply:
-        """Answer ``GET /healthz``: the process runs."""
+        """Answer ``GET /healthz``: whether the process is running."""
         return Reply.from_text('ok\n')
 
     async def handle_readiness(self, request: Request) -> Reply:
-        """Answer ``GET /readyz``: callers may be sent here."""
+        """Answer ``GET /readyz``: whether the proxy accepts callers."""
         if self._proxy.is_ready:
             return Reply.from_text('ready\n')
         return Reply.from_text('not ready\n', _UNAVAILABLE)
@@ -101,13 +101,13 @@
             }
         )
 
-    async def explain(self, request: Request) -> Reply:
+    async def handle_explain(self, request: Request) -> Reply:
         """Answer ``GET /explain?service=NAME``."""
         name = request.query.get('service', '')
         keeper = self._proxy.keeper_manager.keepers.get(name)
         if keeper is None:
             return Reply.from_text(f'{name!r} is not kept here\n', _NOT_FOUND)
-        decisions = list(keeper.decisions)[-_SHOWN:]
+        decisions = list(keeper.decisions)[-_MAX_SHOWN_DECISIONS:]
         return Reply.from_json(
             {
                 'now': await curio.clock(),
@@ -118,34 +118,34 @@
             }
         )
 
-    async def drain(self, request: Request) -> Reply:
-        """Answer ``POST /drain``: begin a planned stop."""
+    async def handle_drain(self, request: Request) -> Reply:
+        """Answer ``POST /drain``: start a planned shutdown."""
         await self._proxy.request_stop()
         return Reply.from_text('draining\n')
 
-    async def _answer(self, request: Request) -> Reply:
-        step = _STEPS.get((request.method, request.path))
-        if step is None:
+    async def _handle_request(self, request: Request) -> Reply:
+        route_handler = _HANDLERS.get((request.method, request.path))
+        if route_handler is None:
             return Reply.from_text('no such page\n', _NOT_FOUND)
-        return await step(self, request)
+        return await route_handler(self, request)
 
 
-_Place = tuple[str, str]
-_Step = Callable[[AdminPort, Request], Awaitable[Reply]]
-_STEPS: Final[Mapping[_Place, _Step]] = MappingProxyType(
+_Route = tuple[str, str]
+_RequestHandler = Callable[[AdminPort, Request], Awaitable[Reply]]
+_HANDLERS: Final[Mapping[_Route, _RequestHandler]] = MappingProxyType(
     {
         ('GET', '/metrics'): AdminPort.handle_metrics,
         ('GET', '/healthz'): AdminPort.handle_health,
         ('GET', '/readyz'): AdminPort.handle_readiness,
         ('GET', '/status'): AdminPort.handle_status,
-        ('GET', '/explain'): AdminPort.explain,
-        ('POST', '/drain'): AdminPort.drain,
+        ('GET', '/explain'): AdminPort.handle_explain,
+        ('POST', '/drain'): AdminPort.handle_drain,
     }
 )
 
 
 def describe_keeper(keeper: Keeper) -> dict[str, Any]:
-    """Return the state of a kept service, ready for JSON."""
+    """Return the state of a keeper's service as a JSON-compatible value."""
     return {
         'term': keeper.watch.term,
         'primary': keeper.watch.primary,
--- a/deckdrum/proxy/cancelling.py
+++ b/deckdrum/proxy/cancelling.py
@@ -1,4 +1,4 @@
-"""Cancelling callers' requests, whichever proxy the request comes to."""
+"""Routing of cancel requests to the proxy that serves the caller."""
 
 from deckdrum.callers.host import CancelKey, OpenedChannel
 from deckdrum.fleet.membership import Membership
@@ -17,20 +17,20 @@
 
 
 class Canceller:
-    """Passes cancel requests on.
+    """Forwards cancel requests to the responsible proxy.
 
     Parameters
     ----------
     membership : Membership
-        Who is in the fleet.
-    keeping : Keeping
-        The services that this proxy keeps.
-    peers : Peers
-        Streams to the others.
+        Members of the fleet.
+    keeper_manager : KeeperManager
+        The keepers that run on this proxy.
+    peers : ProxyPeers
+        Connections to other proxies.
     registry : CallerRegistry
-        This proxy's callers.
+        Callers of this proxy.
     metrics : Metrics
-        For counts.
+        Metrics of this proxy.
     """
 
     def __init__(
@@ -42,16 +42,16 @@
         metrics: Metrics,
     ) -> None:
         self._membership = membership
-        self._keeping = keeper_manager
+        self._keeper_manager = keeper_manager
         self._peers = peers
         self._registry = registry
         self._metrics = metrics
 
     async def cancel(self, key: CancelKey) -> None:
-        """Cancel the request of the caller who holds `key`.
+        """Cancel the request of the caller with `key`.
 
-        The balancer may bring a cancel request to any proxy; the key tells
-        which proxy made it.
+        A load balancer may send a cancel request to any proxy; the key
+        identifies the proxy that issued it.
         """
         tag = get_proxy_tag(key)
         if tag == compute_proxy_tag(self._membership.own.name):
@@ -72,11 +72,11 @@
             await caller.cancel()
 
     async def cancel_channel(self, opened: OpenedChannel) -> None:
-        """Cancel what runs on a channel of this proxy."""
+        """Cancel the batch that runs on a channel opened by this proxy."""
         if opened.keeper == self._membership.own.name:
-            await self._keeping.cancel(opened.number)
+            await self._keeper_manager.cancel(opened.channel_id)
             return
         instance = self._membership.proxies.get(opened.keeper)
         if instance is not None:
-            cancel = CancelChannel(opened.number)
+            cancel = CancelChannel(opened.channel_id)
             await self._peers.ask(instance.endpoint, cancel)
--- a/deckdrum/proxy/configuration_fetching.py
+++ b/deckdrum/proxy/configuration_fetching.py
@@ -1,4 +1,4 @@
-"""Getting the configuration from peers while the platform is out."""
+"""Fetching the configuration from peers while the platform is unreachable."""
 
 from typing import Final
 
@@ -12,23 +12,23 @@
 from deckdrum.store.view import StoreView, VersionedRecord
 from deckdrum.utils import Address
 
-#: How often a peer is asked while the platform is out, in seconds.
+#: Interval of requests to peers while the platform is unreachable.
 FETCH_INTERVAL_S: Final = 1.0
-#: Peers asked in one round.
+#: Peers that are queried in one round.
 _PEERS_PER_ROUND: Final = 2
 
 
 class PeerConfigurationFetcher:
-    """Asks peers for what the platform cannot tell.
+    """Fetches configuration and group records from peers.
 
     Parameters
     ----------
     view : StoreView
-        What this proxy knows.
+        This proxy's copy of the store.
     membership : Membership
-        Who is in the fleet.
-    peers : Peers
-        Streams to the others.
+        Members of the fleet.
+    peers : ProxyPeers
+        Connections to other proxies.
     """
 
     def __init__(
@@ -40,34 +40,34 @@
         self._view = view
         self._membership = membership
         self._peers = peers
-        self._first: tuple[Address, ...] = ()
-        self._turn = 0
+        self._seed_peers: tuple[Address, ...] = ()
+        self._peer_index = 0
 
     def use_seed_peers(self, addresses: tuple[Address, ...]) -> None:
-        """Name peers to ask before the platform has given a list."""
-        self._first = addresses
+        """Set the peers that are queried until the membership is known."""
+        self._seed_peers = addresses
 
     async def run(self) -> None:
-        """Ask peers for ever, while the platform is out."""
+        """Query peers periodically while the platform is unreachable."""
         while True:
             await curio.sleep(FETCH_INTERVAL_S)
             if not self._view.is_reachable:
                 await self.fetch_from_peers()
 
     async def fetch_from_peers(self) -> None:
-        """Ask a few peers, in turn."""
+        """Query the next few peers, in round-robin order."""
         addresses = self._list_addresses()
         for _ in range(min(_PEERS_PER_ROUND, len(addresses))):
-            self._turn += 1
-            address = addresses[self._turn % len(addresses)]
+            self._peer_index += 1
+            address = addresses[self._peer_index % len(addresses)]
             answer = await self._peers.ask_configuration(
                 address,
                 self._view.number,
             )
             if answer is not None:
-                await self._adopt(answer)
+                await self._apply(answer)
 
-    async def _adopt(self, answer: ConfigurationAnswer) -> None:
+    async def _apply(self, answer: ConfigurationAnswer) -> None:
         try:
             if answer.number:
                 await self._view.adopt_configuration(
@@ -86,4 +86,4 @@
             for name, instance in self._membership.proxies.items()
             if name != own
         ]
-        return listed or list(self._first)
+        return listed or list(self._seed_peers)
--- a/deckdrum/proxy/core.py
+++ b/deckdrum/proxy/core.py
@@ -1,4 +1,4 @@
-"""Assembling one proxy from its parts."""
+"""The proxy process and its components."""
 
 from random import Random, SystemRandom
 from typing import Any, Final
@@ -28,22 +28,22 @@
 from deckdrum.utils import Address, Journal, Listener, Stream
 from deckdrum.utils.metrics import Metrics
 
-#: How often membership and the kept services are looked at, in seconds.
+#: Interval of updates to the membership and the keepers.
 _MAINTENANCE_INTERVAL_S: Final = 0.25
-_DRAIN_POLL: Final = 0.05
+_DRAIN_POLL_INTERVAL_S: Final = 0.05
 
 
 class Proxy(CallerHost):
-    """One proxy.
+    """A proxy process.
 
     Parameters
     ----------
     settings : ProxySettings
-        Its settings.
+        Settings of the proxy.
     store : ObjectStore
-        The platform's object API.
+        The platform's object store.
     journal : Journal
-        For changes of state.
+        Log of state changes.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.peers = ProxyPeers(self.membership, self.randomness)
         self.registry = CallerRegistry(settings.name, self.randomness)
         self.keeper_manager = KeeperManager(
-            self._describe_surroundings(), self.membership
+            self._build_keeper_context(), self.membership
         )
         self.configuration_fetcher = PeerConfigurationFetcher(
             self.view, self.membership, self.peers
@@ -83,7 +83,7 @@
             self.registry,
             self.metrics,
         )
-        self._opener = ChannelOpener(
+        self._channel_opener = ChannelOpener(
             self.membership,
             self.keeper_manager,
             self.peers,
@@ -100,54 +100,54 @@
 
     @property
     def name(self) -> str:
-        """Name of the proxy."""
+        """Name of this proxy."""
         return self.settings.name
 
     @property
     def document(self) -> Document | None:
-        """The configuration in force, or None before the first."""
+        """The active configuration, or None if none was received yet."""
         return self.view.document
 
     @property
     def is_draining(self) -> bool:
-        """Whether a planned stop is under way."""
+        """Whether a planned shutdown is in progress."""
         return self.membership.is_leaving
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers can be served."""
+        """Whether the proxy accepts callers."""
         return self.document is not None and not self.is_draining
 
     @property
     def address(self) -> Address:
-        """Where callers connect."""
+        """Address on which the proxy accepts callers."""
         return self._callers.address
 
     async def start(self) -> None:
-        """Start to serve."""
+        """Start all components and accept callers."""
         await self._peer_server.start()
         await self.admin.start()
         self.membership.own = self._describe_self(self._peer_server.address)
         for run in (
             self.view.run,
             self.configuration_fetcher.run,
-            self._look_after,
+            self._run_maintenance,
         ):
             self._tasks.append(await curio.spawn(run, daemon=True))
         await self._callers.start()
         self.journal.record('proxy.started', proxy=self.name)
 
     async def request_stop(self) -> None:
-        """Ask for a planned stop; `run` carries it out."""
+        """Request a planned shutdown, which `run` performs."""
         await self._stop_requested.set()
 
     async def run(self) -> bool:
-        """Serve until a stop is asked for, then drain and end.
+        """Serve until a shutdown is requested, then drain and close.
 
         Returns
         -------
         bool
-            Whether everything ended within the drain limit.
+            Whether draining finished within ``drain_limit`` seconds.
         """
         await self.start()
         await self._stop_requested.wait()
@@ -156,12 +156,12 @@
         return is_done
 
     async def drain(self) -> bool:
-        """Stop as planned: finish what runs, take nothing new.
+        """Finish the work in progress and refuse new work.
 
         Returns
         -------
         bool
-            Whether everything ended within ``drain_limit`` seconds.
+            Whether draining finished within ``drain_limit`` seconds.
         """
         self.membership.is_leaving = True
         self.keeper_manager.start_draining()
@@ -175,12 +175,12 @@
                 is_done = (
                     not self.registry.callers and not self.keeper_manager.pinned
                 )
-                await curio.sleep(_DRAIN_POLL)
+                await curio.sleep(_DRAIN_POLL_INTERVAL_S)
         self.journal.record('proxy.drained', proxy=self.name, complete=is_done)
         return is_done
 
     async def close(self) -> None:
-        """End at once."""
+        """Close all components without draining."""
         for task in self._tasks:
             await task.cancel()
         await self._callers.close()
@@ -196,30 +196,30 @@
         group: str,
     ) -> OpenedChannel | Refusal:
         """Open a channel to the keeper of a service."""
-        return await self._opener.open(service, group)
+        return await self._channel_opener.open(service, group)
 
-    async def keep_channel(self, opened: OpenedChannel) -> None:
-        """Take back a channel on which nothing is under way."""
-        await self._opener.keep(opened)
+    async def release_channel(self, opened: OpenedChannel) -> None:
+        """Return an idle channel for reuse."""
+        await self._channel_opener.release(opened)
 
     async def suspect(self, keeper: str) -> None:
-        """Pass a keeper over for a while."""
-        await self._opener.suspect(keeper)
+        """Mark a keeper as suspected, so that it is tried last for a while."""
+        await self._channel_opener.suspect(keeper)
 
     async def is_running(self, keeper: str) -> bool:
-        """Tell whether a keeper's process runs, by a heartbeat."""
-        return await self._opener.is_running(keeper)
+        """Tell whether a keeper's process answers a heartbeat."""
+        return await self._channel_opener.is_running(keeper)
 
     async def cancel_channel(self, opened: OpenedChannel) -> None:
-        """Cancel what runs on a channel."""
+        """Cancel the batch that runs on a channel."""
         await self.canceller.cancel_channel(opened)
 
     async def cancel(self, key: CancelKey) -> None:
-        """Cancel the request of the caller who holds `key`."""
+        """Cancel the request of the caller with `key`."""
         await self.canceller.cancel(key)
 
     def find_database(self, service: str, name: str) -> Database | None:
-        """Return a declared database, or None."""
+        """Return a client for a configured database, or None if unknown."""
         document = self.document
         declared = document.find_service(service) if document else None
         for entry in declared.databases if declared else ():
@@ -242,13 +242,13 @@
         finally:
             self.registry.remove(caller)
 
-    async def _look_after(self) -> None:
+    async def _run_maintenance(self) -> None:
         while True:
             self.membership.adopt(self.view.instances)
             document = self.document
             if document is not None:
                 self.classifier = self._find_classifier(document)
-                await self.keeper_manager.look_after(document)
+                await self.keeper_manager.update_keepers(document)
             await curio.sleep(_MAINTENANCE_INTERVAL_S)
 
     def _find_classifier(self, document: Document) -> Classifier:
@@ -280,7 +280,7 @@
             admin=settings.admin_listen,
         )
 
-    def _describe_surroundings(self) -> KeeperContext:
+    def _build_keeper_context(self) -> KeeperContext:
         return KeeperContext(
             self.settings.name,
             self.settings.data_centre,
--- a/deckdrum/proxy/keeper_manager.py
+++ b/deckdrum/proxy/keeper_manager.py
@@ -1,4 +1,4 @@
-"""The services that one proxy keeps."""
+"""The keepers that run on one proxy."""
 
 from typing import Final
 
@@ -15,61 +15,61 @@
 from deckdrum.keepers.core import Keeper, KeeperContext
 from deckdrum.outcomes import Code, refuse
 
-#: Proxies that watch each service: its keeper and one standby.
+#: Proxies that run a keeper for each service: one active and one standby.
 _PROXIES_PER_SERVICE: Final = 2
-#: How long an unneeded keeper stays, in seconds.
+#: Time after which a keeper that nobody needs is retired.
 _UNUSED_KEEPER_LIFETIME_S: Final = 10.0
 
 
 class KeeperManager:
-    """Starts, serves and ends the keepers of one proxy.
+    """Starts, updates and closes the keepers of one proxy.
 
     Parameters
     ----------
-    around : Surroundings
-        What the proxy provides.
+    context : Surroundings
+        What the proxy provides to its keepers.
     membership : Membership
-        Who is in the fleet.
+        Members of the fleet.
     """
 
-    def __init__(self, around: KeeperContext, membership: Membership) -> None:
+    def __init__(self, context: KeeperContext, membership: Membership) -> None:
         self.keepers: dict[str, Keeper] = {}
-        self._around = around
+        self._context = context
         self._membership = membership
         self._last_needed_at: dict[str, float] = {}
         self._retired: list[Keeper] = []
-        self._starting = curio.Lock()
+        self._start_lock = curio.Lock()
 
     @property
     def pinned(self) -> int:
-        """Channels that hold a connection."""
+        """Number of channels with a pinned database connection."""
         return sum(each.pinned for each in self.keepers.values())
 
     def start_draining(self) -> None:
-        """Refuse new work from now on; open transactions go on."""
+        """Refuse new work; open transactions continue."""
         for keeper in self.keepers.values():
             keeper.is_draining = True
 
     async def close(self) -> None:
-        """End all keepers."""
+        """Close all keepers."""
         for keeper in (*self.keepers.values(), *self._retired):
             await keeper.close()
         self.keepers.clear()
         self._retired.clear()
 
-    async def look_after(self, document: Document) -> None:
-        """Start the keepers that this proxy should run; end the others."""
+    async def update_keepers(self, document: Document) -> None:
+        """Start the keepers that this proxy should run; retire the others."""
         now = await curio.clock()
         for service in document.services:
             if self._should_run_keeper(service.name):
-                await self._ensure(service, document, now)
+                await self._get_or_start(service, document, now)
         for name, keeper in list(self.keepers.items()):
             keeper.router.leaving = self._membership.leaving_databases
             keeper.set_standby(not self._is_preferred_keeper(name))
             await self._reconfigure_or_retire(name, keeper, document, now)
 
     async def serve(self, channel: Channel, opened: OpenChannel) -> None:
-        """Serve a channel from its opening to its end."""
+        """Serve a channel until it is closed."""
         message: Message | None = opened
         try:
             while isinstance(message, OpenChannel):
@@ -84,39 +84,39 @@
             await channel.close()
 
     async def cancel(self, channel: str) -> None:
-        """Cancel what runs on a channel."""
+        """Cancel the batch that runs on a channel."""
         for keeper in self.keepers.values():
             if await keeper.cancel(channel):
                 return
 
     async def _find(self, opened: OpenChannel) -> Keeper | None:
-        """Return the keeper of a service, started if need be.
+        """Return the keeper of a service; start it if necessary.
 
-        Whoever asks has chosen this proxy by its own list; serving it is
-        safe even if another proxy keeps the service too.
+        The requesting proxy chose this one by its own view of the membership.
+        Two proxies may safely run a keeper of the same service at once.
         """
         now = await curio.clock()
         self._last_needed_at[opened.service] = now
         keeper = self.keepers.get(opened.service)
         if keeper is not None:
             return keeper
-        document = self._around.view.document
+        document = self._context.view.document
         service = document.find_service(opened.service) if document else None
         if document is None or service is None or self._membership.is_leaving:
             return None
-        return await self._ensure(service, document, now)
+        return await self._get_or_start(service, document, now)
 
-    async def _ensure(
+    async def _get_or_start(
         self,
         service: Service,
         document: Document,
         now: float,
     ) -> Keeper:
-        async with self._starting:
+        async with self._start_lock:
             self._last_needed_at[service.name] = now
             keeper = self.keepers.get(service.name)
             if keeper is None:
-                keeper = Keeper(service, document, self._around)
+                keeper = Keeper(service, document, self._context)
                 keeper.is_draining = self._membership.is_leaving
                 self.keepers[service.name] = keeper
                 await keeper.start()
@@ -140,7 +140,7 @@
         await self._close_retired()
 
     async def _retire(self, name: str, keeper: Keeper) -> None:
-        """Take a keeper out of use; its open transactions go on."""
+        """Stop using a keeper; its open transactions continue."""
         self.keepers.pop(name, None)
         keeper.is_draining = True
         self._retired.append(keeper)
@@ -157,7 +157,7 @@
         await channel.send(BatchRefused(refusal.code.value, refusal.text))
 
     def _is_preferred_keeper(self, service: str) -> bool:
-        """Tell whether this proxy is the service's keeper by its list."""
+        """Tell whether this proxy ranks first among the service's keepers."""
         ranked = rank_keepers(service, self._membership.proxies)
         return ranked[0] == self._membership.own.name
 
--- a/deckdrum/proxy/opening.py
+++ b/deckdrum/proxy/opening.py
@@ -1,4 +1,4 @@
-"""Opening channels to the keepers of services."""
+"""Opening of channels to the keepers of services."""
 
 import itertools
 from typing import Any, Final
@@ -18,7 +18,7 @@
 from deckdrum.store import Instance
 from deckdrum.utils.metrics import Metrics
 
-#: Keepers tried before a request is refused.
+#: Keepers that are tried before a request is refused.
 _MAX_CANDIDATES: Final = 4
 
 
@@ -28,13 +28,13 @@
     Parameters
     ----------
     membership : Membership
-        Who is in the fleet.
-    keeping : Keeping
-        The services that this proxy keeps itself.
-    peers : Peers
-        Streams to the others.
+        Members of the fleet.
+    keeper_manager : KeeperManager
+        The keepers that run on this proxy.
+    peers : ProxyPeers
+        Connections to other proxies.
     metrics : Metrics
-        For counts.
+        Metrics of this proxy.
     """
 
     def __init__(
@@ -45,38 +45,38 @@
         metrics: Metrics,
     ) -> None:
         self._membership = membership
-        self._keeping = keeper_manager
+        self._keeper_manager = keeper_manager
         self._peers = peers
         self._metrics = metrics
-        self._numbers = itertools.count(1)
-        #: Heartbeats under way, by keeper.
+        self._channel_numbers = itertools.count(1)
+        #: The last heartbeat task of each keeper, by name.
         self._heartbeat_tasks: dict[str, Any] = {}
 
     async def open(self, service: str, group: str) -> OpenedChannel | Refusal:
-        """Open a channel; nothing of a request has been sent yet.
+        """Open a channel without sending a batch on it.
 
         Returns
         -------
         OpenedChannel or Refusal
-            ``NO_KEEPER`` if no candidate can be reached.
+            A ``NO_KEEPER`` refusal if all candidates are unreachable.
         """
         now = await curio.clock()
         own = self._membership.own.name
-        number = f'{own}-{next(self._numbers)}'
-        opening = OpenChannel(number, service, group)
+        channel_id = f'{own}-{next(self._channel_numbers)}'
+        request = OpenChannel(channel_id, service, group)
         candidates = self._membership.list_keepers(service, now)
         for instance in candidates[:_MAX_CANDIDATES]:
             if instance.name == own:
-                return await self._open_local(opening)
-            opened = await self._open_remote(instance, opening)
+                return await self._open_local(request)
+            opened = await self._open_remote(instance, request)
             if opened is not None:
                 return opened
             self._metrics.count('keeper.unreachable')
             self._membership.suspect(instance.name, now)
         return refuse(Code.NO_KEEPER, f'service {service}')
 
-    async def keep(self, opened: OpenedChannel) -> None:
-        """Take back a channel on which nothing is under way."""
+    async def release(self, opened: OpenedChannel) -> None:
+        """Return an idle channel for reuse."""
         instance = self._membership.proxies.get(opened.keeper)
         channel = opened.channel
         if isinstance(channel, StreamChannel) and instance is not None:
@@ -85,23 +85,25 @@
             await channel.close()
 
     async def is_running(self, keeper: str) -> bool:
-        """Tell whether a keeper's process runs, by a heartbeat.
+        """Tell whether a keeper's process answers a heartbeat.
 
-        A frozen process keeps its connections open and accepts new ones, so
-        silence alone tells nothing.
+        The kernel keeps the connections of a frozen process open and accepts
+        new ones, so an open connection does not show that the process runs.
         """
         if keeper == self._membership.own.name:
             return True
-        beat = self._heartbeat_tasks.get(keeper)
-        if beat is None or beat.terminated:
-            # One heartbeat serves every caller that waits for this keeper.
-            beat = await curio.spawn(self._send_heartbeat, keeper, daemon=True)
-            self._heartbeat_tasks[keeper] = beat
-        await beat.wait()
-        return bool(beat.result)
+        heartbeat_task = self._heartbeat_tasks.get(keeper)
+        if heartbeat_task is None or heartbeat_task.terminated:
+            # Concurrent callers share one heartbeat to a keeper.
+            heartbeat_task = await curio.spawn(
+                self._send_heartbeat, keeper, daemon=True
+            )
+            self._heartbeat_tasks[keeper] = heartbeat_task
+        await heartbeat_task.wait()
+        return bool(heartbeat_task.result)
 
     async def suspect(self, keeper: str) -> None:
-        """Pass a keeper over for a while."""
+        """Mark a keeper as suspected, so that it is tried last for a while."""
         self._membership.suspect(keeper, await curio.clock())
         self._metrics.count('keeper.suspected')
 
@@ -112,19 +114,23 @@
         answer = await self._peers.ask(instance.endpoint, Heartbeat())
         return answer is not None
 
-    async def _open_local(self, opening: OpenChannel) -> OpenedChannel:
-        near, far = LocalChannel.open_pair()
-        await curio.spawn(self._keeping.serve, far, opening, daemon=True)
-        return OpenedChannel(near, opening.channel, self._membership.own.name)
+    async def _open_local(self, request: OpenChannel) -> OpenedChannel:
+        caller_end, keeper_end = LocalChannel.open_pair()
+        await curio.spawn(
+            self._keeper_manager.serve, keeper_end, request, daemon=True
+        )
+        return OpenedChannel(
+            caller_end, request.channel, self._membership.own.name
+        )
 
     async def _open_remote(
         self,
         instance: Instance,
-        opening: OpenChannel,
+        request: OpenChannel,
     ) -> OpenedChannel | None:
         try:
             channel = await self._peers.channels.open(instance.endpoint)
-            await channel.send(opening)
+            await channel.send(request)
         except ConnectionError:
             return None
-        return OpenedChannel(channel, opening.channel, instance.name)
+        return OpenedChannel(channel, request.channel, instance.name)
--- a/deckdrum/proxy/peer_server.py
+++ b/deckdrum/proxy/peer_server.py
@@ -1,4 +1,4 @@
-"""The port at which other proxies knock."""
+"""Server for requests from other proxies."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -27,12 +27,12 @@
 if TYPE_CHECKING:
     from deckdrum.proxy.core import Proxy
 
-#: Age up to which a watcher's last answer serves a peer, in seconds.
+#: Age up to which a watcher's last sample answers a peer's probe.
 _MAX_SAMPLE_AGE_S: Final = 0.3
 
 
 class PeerServer:
-    """Answers other proxies.
+    """Answers requests from other proxies.
 
     Parameters
     ----------
@@ -49,25 +49,25 @@
 
     @property
     def address(self) -> Address:
-        """Where the proxy listens for peers."""
+        """Address on which the proxy accepts peers."""
         return self._listener.address
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         await self._listener.start()
 
     async def close(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         await self._listener.close()
 
-    async def answer_probe(self, question: AskProbe) -> Message:
-        """Say whether this proxy reaches a database, and its group.
+    async def handle_probe(self, request: AskProbe) -> Message:
+        """Report if this proxy reaches a database and, as keeper, a majority.
 
-        A proxy that is cut off together with a primary reaches it, but sees
-        no majority: its word must not keep the others from a promotion.
+        A keeper that is partitioned together with the primary reaches it but no
+        majority; its answer must not stop the other proxies from a promotion.
         """
-        reached = await self._probe(question.service, question.database)
-        keeper = self._proxy.keeper_manager.keepers.get(question.service)
+        reached = await self._can_reach(request.service, request.database)
+        keeper = self._proxy.keeper_manager.keepers.get(request.service)
         if keeper is not None and reached:
             now = await curio.clock()
             reached = keeper.watch.can_reach_majority(
@@ -75,28 +75,28 @@
             )
         return ProbeAnswer(reached)
 
-    async def answer_configuration(self, question: AskConfiguration) -> Message:
-        """Give the configuration and records that this proxy knows."""
+    async def handle_configuration(self, request: AskConfiguration) -> Message:
+        """Return the configuration and the records that this proxy holds."""
         view = self._proxy.view
         records = [
-            (held.version, held.record.encode())
-            for held in view.records.values()
+            (versioned.version, versioned.record.encode())
+            for versioned in view.records.values()
         ]
-        if view.configuration is None or view.number <= question.number:
+        if view.configuration is None or view.number <= request.number:
             return ConfigurationAnswer(0, b'', records)
         body = view.configuration.encode()
         return ConfigurationAnswer(view.number, body, records)
 
-    async def answer_heartbeat(self, message: Heartbeat) -> Message:
-        """Show that this proxy runs."""
+    async def handle_heartbeat(self, message: Heartbeat) -> Message:
+        """Echo a heartbeat."""
         return message
 
-    async def cancel_channel(self, message: CancelChannel) -> Message:
-        """Cancel what runs on a channel."""
+    async def handle_cancel_channel(self, message: CancelChannel) -> Message:
+        """Cancel the batch that runs on a channel."""
         await self._proxy.keeper_manager.cancel(message.channel)
         return message
 
-    async def cancel_caller(self, message: CancelCaller) -> Message:
+    async def handle_cancel_caller(self, message: CancelCaller) -> Message:
         """Cancel the request of one of this proxy's callers."""
         key = CancelKey(message.process, message.secret)
         await self._proxy.canceller.cancel_own_caller(key)
@@ -115,12 +115,12 @@
             if isinstance(message, OpenChannel):
                 await self._proxy.keeper_manager.serve(channel, message)
                 return
-            answer = _ANSWERS.get(type(message))
-            if answer is None:
-                raise MessageError(f'{type(message).__name__} is no question')
-            await channel.send(await answer(self, message))
+            message_handler = _HANDLERS.get(type(message))
+            if message_handler is None:
+                raise MessageError(f'{type(message).__name__} is not a request')
+            await channel.send(await message_handler(self, message))
 
-    async def _probe(self, service: str, name: str) -> bool:
+    async def _can_reach(self, service: str, name: str) -> bool:
         watcher = self._find_watcher(service, name)
         if watcher is not None and watcher.sample is not None:
             now = await curio.clock()
@@ -129,12 +129,12 @@
         database = self._proxy.find_database(service, name)
         if database is None:
             return False
-        visitor = Watcher(database)
+        temporary_watcher = Watcher(database)
         async with curio.ignore_after(STATE_PROBE_TIMEOUT_S):
             try:
-                return await visitor.probe()
+                return await temporary_watcher.probe()
             finally:
-                await visitor.close()
+                await temporary_watcher.close()
         return False
 
     def _find_watcher(self, service: str, name: str) -> Watcher | None:
@@ -142,12 +142,12 @@
         return None if keeper is None else keeper.watch.watchers.get(name)
 
 
-_ANSWERS: Final[Mapping[Any, Any]] = MappingProxyType(
+_HANDLERS: Final[Mapping[Any, Any]] = MappingProxyType(
     {
-        AskProbe: PeerServer.answer_probe,
-        Heartbeat: PeerServer.answer_heartbeat,
-        AskConfiguration: PeerServer.answer_configuration,
-        CancelChannel: PeerServer.cancel_channel,
-        CancelCaller: PeerServer.cancel_caller,
+        AskProbe: PeerServer.handle_probe,
+        Heartbeat: PeerServer.handle_heartbeat,
+        AskConfiguration: PeerServer.handle_configuration,
+        CancelChannel: PeerServer.handle_cancel_channel,
+        CancelCaller: PeerServer.handle_cancel_caller,
     }
 )
--- a/deckdrum/proxy/registry.py
+++ b/deckdrum/proxy/registry.py
@@ -1,4 +1,4 @@
-"""The callers of one proxy, found by their cancel keys."""
+"""Registry of the callers of one proxy, with their cancel keys."""
 
 import hashlib
 import hmac
@@ -10,14 +10,14 @@
 from deckdrum.callers.host import CancelKey
 
 _SECRET_BYTES: Final = 4
-#: A process number is 15 bits of the proxy's tag and 16 of the caller's.
+#: A process number is a 15-bit proxy tag and a 16-bit caller number.
 _CALLER_BITS: Final = 16
 _TAG_MASK: Final = 0x7FFF
 _CALLER_MASK: Final = 0xFFFF
 
 
 def compute_proxy_tag(name: str) -> int:
-    """Return the tag by which other proxies find this one's callers.
+    """Return the tag that identifies a proxy in the cancel keys it issues.
 
     Examples
     --------
@@ -31,26 +31,26 @@
 
 
 def get_proxy_tag(key: CancelKey) -> int:
-    """Return the tag of the proxy that made a key."""
+    """Return the tag of the proxy that issued a key."""
     return key.process >> _CALLER_BITS
 
 
 class CallerRegistry:
-    """Holds a proxy's callers.
+    """Connected callers of a proxy.
 
     Parameters
     ----------
     proxy : str
         Name of the proxy.
     randomness : random.Random
-        Source of the secrets.
+        Source of the secrets in cancel keys.
     """
 
     def __init__(self, proxy: str, randomness: Random) -> None:
         self._tag = compute_proxy_tag(proxy)
         self._randomness = randomness
         self._numbers = itertools.count(1)
-        # A dictionary keeps the order of arrival; a set would not.
+        # A dictionary, since it preserves the insertion order.
         self._callers: dict[CallerConnection, None] = {}
 
     @property
@@ -59,11 +59,11 @@
         return list(self._callers)
 
     def add(self, caller: CallerConnection) -> None:
-        """Note a caller."""
+        """Add a caller."""
         self._callers[caller] = None
 
     def remove(self, caller: CallerConnection) -> None:
-        """Forget a caller."""
+        """Remove a caller."""
         self._callers.pop(caller, None)
 
     def make_key(self) -> CancelKey:
@@ -75,10 +75,10 @@
         )
 
     def find(self, key: CancelKey) -> CallerConnection | None:
-        """Return the caller who holds exactly this key."""
+        """Return the caller with this key, or None."""
         for caller in self._callers:
-            held = caller.key
-            if held is not None and held.process == key.process:
-                if hmac.compare_digest(held.secret, key.secret):
+            caller_key = caller.key
+            if caller_key is not None and caller_key.process == key.process:
+                if hmac.compare_digest(caller_key.secret, key.secret):
                     return caller
         return None
--- a/deckdrum/tests/test_deferral.py
+++ b/deckdrum/tests/test_deferral.py
@@ -1,7 +1,7 @@
-"""Modules that wait for their first use.
+"""Tests of deferred imports.
 
-Each case runs in an interpreter of its own, since the modules of this one are
-loaded already.
+Each test runs a fresh interpreter, since the modules are already loaded in this
+one.
 """
 
 import subprocess
@@ -16,27 +16,27 @@
 defer_imports(UNUSED_BY_NODES)
 import deckdrum.platform.service
 """
-#: Modules that only bridges to other event loops and processes need.
+#: Modules that only curio's bridges to other event loops import.
 _UNUSED: Final = ('asyncio.base_events', 'asyncio.events')
 
 
 def run_python(code: str) -> str:
-    """Run code in a fresh interpreter and return what it prints."""
-    ended = subprocess.run(
+    """Run code in a fresh interpreter and return its output."""
+    completed = subprocess.run(
         [sys.executable, '-c', code],
         capture_output=True,
         text=True,
         check=True,
     )
-    return ended.stdout.strip()
+    return completed.stdout.strip()
 
 
-def test_node_is_imported_without_unused_modules() -> None:
+def test_node_import_does_not_load_unused_modules() -> None:
     code = f'{_DEFERRED}print([m for m in {_UNUSED} if m in sys.modules])'
     assert run_python(code) == '[]'
 
 
-def test_deferred_module_is_whole_once_it_is_used() -> None:
+def test_deferred_module_is_complete_once_used() -> None:
     code = (
         f'{_DEFERRED}'
         'import asyncio, curio.queue\n'
@@ -46,7 +46,7 @@
     assert run_python(code) == '42 True'
 
 
-def test_loaded_module_stays_as_it_is() -> None:
+def test_loaded_module_is_not_replaced() -> None:
     code = (
         'import asyncio\n'
         'from deckdrum.deferral import defer_imports\n'
@@ -58,7 +58,7 @@
     assert run_python(code) == 'True'
 
 
-def test_unknown_module_is_named_at_its_first_use() -> None:
+def test_unknown_module_is_reported_at_first_use() -> None:
     code = (
         'from deckdrum.deferral import defer_imports\n'
         "defer_imports(['no_such_module'])\n"
--- a/deckdrum/wire/__init__.py
+++ b/deckdrum/wire/__init__.py
@@ -1,4 +1,4 @@
-"""The PostgreSQL protocol; the only module that knows `pygwire`."""
+"""Framing, encoding and decoding of PostgreSQL protocol messages."""
 
 from deckdrum.wire.frames import Frame, FrameReader, WireError
 from deckdrum.wire.messages import (
--- a/deckdrum/wire/frames.py
+++ b/deckdrum/wire/frames.py
@@ -1,7 +1,7 @@
 """Framing of protocol messages without decoding their bodies.
 
-Answers are relayed as bytes; only messages on which a decision depends are
-decoded, by `pygwire` (`deckdrum.wire.messages`).
+Responses are relayed as bytes; `deckdrum.wire.messages` decodes only the
+messages whose contents the proxy needs.
 
 References
 ----------
@@ -23,12 +23,12 @@
 
 
 class WireError(ConnectionError):
-    """The peer sent bytes that break the protocol."""
+    """The peer violated the protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    r"""One message: its tag and its bytes, header included.
+    r"""One message: its tag, and its bytes including the header.
 
     Examples
     --------
@@ -54,7 +54,7 @@
 
 
 def split_frames(payload: bytes) -> list[Frame]:
-    """Cut bytes that hold whole messages into frames.
+    """Split bytes that consist of complete messages into frames.
 
     Raises
     ------
@@ -81,12 +81,12 @@
 
 
 class FrameReader:
-    """Cuts a stream into frames.
+    """Splits a stream into frames.
 
     Parameters
     ----------
     stream : Stream
-        Where the bytes come from.
+        The stream to read.
     max_bytes : int
         Largest message accepted, in bytes.
     """
@@ -101,16 +101,16 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes received and not yet taken."""
+        """Number of bytes received but not yet consumed."""
         return len(self._buffer) - self._start
 
     async def read_frame(self) -> Frame | None:
-        """Return the next message, or None at a clean end of the stream.
+        """Return the next message, or None if the stream ends between messages.
 
         Raises
         ------
         WireError
-            If the message is malformed, oversized or cut short.
+            If the message is malformed, too large or truncated.
         """
         while True:
             frame = self.take_frame()
@@ -124,7 +124,7 @@
             self._buffer.extend(chunk)
 
     def take_frame(self) -> Frame | None:
-        """Return a message that has already arrived whole, or None."""
+        """Return the next message if it is completely buffered, else None."""
         if self.buffered_bytes < _HEADER_BYTES:
             return None
         tag, length = _HEADER.unpack_from(self._buffer, self._start)
@@ -146,7 +146,7 @@
         Raises
         ------
         WireError
-            If its length cannot be right.
+            If its length is out of range.
         """
         while True:
             if self.buffered_bytes >= _LENGTH_BYTES:
--- a/deckdrum/wire/messages.py
+++ b/deckdrum/wire/messages.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of single messages by `pygwire`."""
+"""Encoding and decoding of single messages with `pygwire`."""
 
 import struct
 from typing import Any, Final
@@ -23,7 +23,7 @@
     'encode_ready',
 ]
 
-#: Errors that a malformed body can raise inside the codec.
+#: Errors that the codec raises for a malformed body.
 _CODEC_ERRORS: Final = (
     PygwireError,
     struct.error,
--- a/deckdrum/wire/tags.py
+++ b/deckdrum/wire/tags.py
@@ -1,6 +1,6 @@
-"""Tag bytes of the messages that the product acts upon.
+"""Tag bytes of the messages that the proxy handles.
 
-Some tags mean one thing from a caller and another from a database.
+The meaning of some tags depends on whether a caller or a database sends them.
 """
 
 from typing import Final
