--- a/deckdrum/soak/__init__.py
+++ b/deckdrum/soak/__init__.py
@@ -1,10 +1,10 @@
-"""A randomised soak: real node processes, faults from outside, promises kept.
+"""Randomised soak test: real node processes under injected faults.
 
-The nodes run as processes of their own, in real time; databases, store and
-callers are in the process of the soak.  Faults come from signals, from
-loopback links that delay, cut or silence, and from stand-ins that refuse, lag
-or die.  What callers were told and what the databases ran is compared
-afterwards (`promises`).
+Nodes run as separate processes in real time; databases, store and callers run
+in the process of the soak test.  Faults are signals, loopback links that delay
+or drop traffic, and stand-ins that reject requests, lag or crash.  Afterwards
+the answers that callers received are checked against the statements that the
+databases executed (`promises`).
 """
 
 from deckdrum.soak.runner import SoakPlan, SoakReport, run_soak
--- a/deckdrum/soak/callers.py
+++ b/deckdrum/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak: sessions that read and write at any node."""
+"""Callers of a soak test: sessions that read and write through any node."""
 
 from collections.abc import Sequence
 from random import Random
@@ -7,7 +7,7 @@
 import curio
 
 from deckdrum.soak.processes import NodeProcess
-from deckdrum.soak.records import Attempt, Fate
+from deckdrum.soak.records import Attempt, AttemptOutcome
 from deckdrum.testing.nodes import (
     BOUNDED,
     CURRENT,
@@ -17,35 +17,34 @@
 )
 
 _DATABASES: Final = (CURRENT, BOUNDED, OWN_WRITES)
-#: Errors that promise that nothing of the attempt is kept.
+#: Error codes which guarantee that no change of the attempt is committed.
 _NOT_COMMITTED_CODES: Final = frozenset(
     ('BUSY', 'ABORTED', 'LAGGING', 'READONLY', 'MISROUTED', 'TOOMANY'),
 )
-#: Pause after an attempt without success, and longest between two, in s.
-_RETRY_PAUSE: Final = 0.1
-_LONGEST_PAUSE: Final = 0.05
-#: Most operations of one session, and statements of one transaction.
-_MOST_OPERATIONS: Final = 20
-_MOST_STATEMENTS: Final = 3
-#: Number of things that are read and written.
-_THINGS: Final = 1000
-#: Parts of the operations that are transactions, that write, that roll back.
-_TRANSACTIONS: Final = 0.3
-_WRITES: Final = 0.4
-_ROLLBACKS: Final = 0.2
+#: Pause after a failed session, and longest pause between two attempts.
+_RETRY_DELAY_S: Final = 0.1
+_MAX_PAUSE_S: Final = 0.05
+#: Operations per session and statements per transaction.
+_MAX_OPERATIONS: Final = 20
+_MAX_STATEMENTS: Final = 3
+_KEY_COUNT: Final = 1000
+#: Fractions of operations, statements and transactions respectively.
+_TRANSACTION_FRACTION: Final = 0.3
+_WRITE_FRACTION: Final = 0.4
+_ROLLBACK_FRACTION: Final = 0.2
 
 
 class Caller:
-    """One caller, with one session after the other.
+    """A caller that opens one session after another.
 
     Parameters
     ----------
     name : str
-        Unique in the soak.
+        Name, unique in the soak test.
     nodes : sequence of NodeProcess
-        Where it connects.
+        Nodes to which it connects.
     randomness : random.Random
-        Draws what it does.
+        Selects nodes and operations.
     """
 
     def __init__(
@@ -55,40 +54,43 @@
         randomness: Random,
     ) -> None:
         self.attempts: list[Attempt] = []
-        #: Names of the nodes that have served it, with the latest time.
+        #: Time of the latest successful attempt, by name of the node.
         self.last_served_at: dict[str, float] = {}
-        self.is_over = False
+        self.is_stopped = False
         self._name = name
         self._nodes = nodes
         self._randomness = randomness
-        self._sessions = 0
-        self._asked = 0
+        self._session_count = 0
+        self._request_count = 0
 
     async def run(self) -> None:
-        """Open sessions until the soak is over."""
-        while not self.is_over:
+        """Open sessions until `is_stopped` is set."""
+        while not self.is_stopped:
             node = self._randomness.choice(self._nodes)
             try:
                 await self._run_session(node)
             except (ConnectionError, curio.TaskTimeout):
-                # The node is gone or silent; another one may serve.
-                await curio.sleep(_RETRY_PAUSE)
+                # The node is down or unresponsive; the next one may serve.
+                await curio.sleep(_RETRY_DELAY_S)
 
     async def _run_session(self, node: NodeProcess) -> None:
-        self._sessions += 1
-        session = f'{self._name}s{self._sessions}'
+        self._session_count += 1
+        session = f'{self._name}s{self._session_count}'
         database = self._randomness.choice(_DATABASES)
         client = await LineClient.connect(node.clients_address, database)
         try:
             if client.greeting.state != 'I':
                 return
-            await self._ask(client, f'SET colour {session}', None)
-            for _ in range(self._randomness.randint(1, _MOST_OPERATIONS)):
+            await self._send_query(client, f'SET colour {session}', None)
+            for _ in range(self._randomness.randint(1, _MAX_OPERATIONS)):
                 attempt = await self._run_attempt(client, session, database)
-                if self.is_over or attempt.fate is not Fate.DONE:
+                if (
+                    self.is_stopped
+                    or attempt.outcome is not AttemptOutcome.DONE
+                ):
                     return
                 self.last_served_at[node.name] = attempt.ended_at
-                pause = self._randomness.random() * _LONGEST_PAUSE
+                pause = self._randomness.random() * _MAX_PAUSE_S
                 await curio.sleep(pause)
         finally:
             await client.close()
@@ -102,12 +104,12 @@
         attempt = Attempt(session, database)
         self.attempts.append(attempt)
         attempt.began_at = await curio.clock()
-        if self._randomness.random() < _TRANSACTIONS:
-            attempt.fate = Fate.NOT_ASKED
+        if self._randomness.random() < _TRANSACTION_FRACTION:
+            attempt.outcome = AttemptOutcome.NOT_REQUESTED
             await self._run_transaction(client, attempt)
         else:
             reply = await self._run_statement(client, attempt)
-            attempt.fate = _read_fate(reply)
+            attempt.outcome = _get_outcome(reply)
         attempt.ended_at = await curio.clock()
         return attempt
 
@@ -116,53 +118,59 @@
         client: LineClient,
         attempt: Attempt,
     ) -> None:
-        await self._ask(client, 'BEGIN', attempt)
-        for _ in range(self._randomness.randint(1, _MOST_STATEMENTS)):
+        await self._send_query(client, 'BEGIN', attempt)
+        for _ in range(self._randomness.randint(1, _MAX_STATEMENTS)):
             reply = await self._run_statement(client, attempt)
             if not reply.is_done:
-                attempt.fate = _read_fate(reply)
+                attempt.outcome = _get_outcome(reply)
                 return
-        if self._randomness.random() < _ROLLBACKS:
-            await self._ask(client, 'ROLLBACK', attempt)
+        if self._randomness.random() < _ROLLBACK_FRACTION:
+            await self._send_query(client, 'ROLLBACK', attempt)
             return
-        # It stays in doubt if the answer never comes.
-        attempt.fate = Fate.UNKNOWN
-        attempt.fate = _read_fate(await self._ask(client, 'COMMIT', attempt))
+        # The outcome stays unknown if COMMIT is not answered.
+        attempt.outcome = AttemptOutcome.UNKNOWN
+        attempt.outcome = _get_outcome(
+            await self._send_query(client, 'COMMIT', attempt)
+        )
 
     async def _run_statement(
         self,
         client: LineClient,
         attempt: Attempt,
     ) -> Reply:
-        thing = f't{self._randomness.randrange(_THINGS)}'
-        if self._randomness.random() < _WRITES:
-            text = f'WRITE {thing} x{self._asked}'
-            attempt.writes.append(self._next_id())
-            return await self._ask(client, text, attempt)
-        reply = await self._ask(client, f'READ {thing}', attempt)
+        key = f't{self._randomness.randrange(_KEY_COUNT)}'
+        if self._randomness.random() < _WRITE_FRACTION:
+            text = f'WRITE {key} x{self._request_count}'
+            attempt.writes.append(self._build_request_id())
+            return await self._send_query(client, text, attempt)
+        reply = await self._send_query(client, f'READ {key}', attempt)
         if reply.is_done:
-            attempt.reads.append((thing, ' '.join(reply.rows)))
+            attempt.reads.append((key, ' '.join(reply.rows)))
         return reply
 
-    async def _ask(
+    async def _send_query(
         self,
         client: LineClient,
         text: str,
         attempt: Attempt | None,
     ) -> Reply:
-        request_id = self._next_id()
-        self._asked += 1
+        request_id = self._build_request_id()
+        self._request_count += 1
         if attempt is not None:
-            attempt.texts[request_id] = text
+            attempt.statements[request_id] = text
         await client.send(f'QUERY {request_id} {text}')
         return await client.read_reply()
 
-    def _next_id(self) -> str:
-        return f'{self._name}-{self._asked}'
+    def _build_request_id(self) -> str:
+        return f'{self._name}-{self._request_count}'
 
 
-def _read_fate(reply: Reply) -> Fate:
+def _get_outcome(reply: Reply) -> AttemptOutcome:
     if reply.is_done:
-        return Fate.DONE
-    word = reply.text.partition(' ')[0]
-    return Fate.NOT_KEPT if word in _NOT_COMMITTED_CODES else Fate.UNKNOWN
+        return AttemptOutcome.DONE
+    code = reply.text.partition(' ')[0]
+    return (
+        AttemptOutcome.NOT_COMMITTED
+        if code in _NOT_COMMITTED_CODES
+        else AttemptOutcome.UNKNOWN
+    )
--- a/deckdrum/soak/faults.py
+++ b/deckdrum/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: each strikes, lasts, and is mended."""
+"""Faults of a soak test: each is injected, lasts a while and is cleared."""
 
 import signal
 from abc import ABC, abstractmethod
@@ -11,18 +11,16 @@
 from deckdrum.standins.users import StoreFault
 from deckdrum.testing.nodes import build_config, build_route
 
-#: Shortest and longest time that a fault lasts, in seconds: around the limits
-#: of the product (proof 1.2 s, take-over 5 s).
+#: Faults end before or after a leadership proof expires (1.2 s), but before an
+#: unfinished primary change is taken over (5 s).
 MIN_FAULT_DURATION_S: Final = 0.2
 MAX_FAULT_DURATION_S: Final = 4.0
-#: Part of that time after which a stopped node, or all nodes, start again.
-_AWAY_PART: Final = 1 / 4
-#: Most answers that a database loses in a row.
-_MOST_LOST: Final = 5
-#: Most versions by which the operator's configuration grows at once.
-_LONGEST_STEP: Final = 3
-#: Delay of a slow link, in seconds.
-_SLOW_DELAY: Final = 0.1
+#: Fraction of the duration after which stopped nodes are started again.
+_RESTART_AFTER_FRACTION: Final = 1 / 4
+_MAX_LOST_ANSWERS: Final = 5
+#: Largest increment of the configuration version.
+_MAX_VERSION_STEP: Final = 3
+_SLOW_DELAY_S: Final = 0.1
 _STORE_FAULTS: Final = (
     StoreFault.BUSY,
     StoreFault.MANY,
@@ -34,164 +32,194 @@
 
 
 class Fault(ABC):
-    """A kind of fault."""
+    """A kind of fault that can be injected."""
 
     @abstractmethod
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike, last for some seconds and mend; tell what was struck."""
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject the fault, clear it after `duration`; return the target."""
 
 
 class FrozenNode(Fault):
-    """A node's process stands still."""
+    """A node process is suspended and resumed."""
 
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike and mend."""
-        node = world.pick_node()
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject and clear the fault."""
+        node = environment.pick_node()
         node.send_signal(signal.SIGSTOP)
-        await curio.sleep(lasting)
+        await curio.sleep(duration)
         node.send_signal(signal.SIGCONT)
         return node.name
 
 
 class KilledNode(Fault):
-    """A node's process is killed, and started again."""
+    """A node process is killed and started again."""
 
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike and mend."""
-        node = world.pick_node()
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject and clear the fault."""
+        node = environment.pick_node()
         node.kill()
-        await curio.sleep(lasting)
+        await curio.sleep(duration)
         node.start()
         return node.name
 
 
 class StoppedNode(Fault):
-    """A node gets one signal, is then asked to stop, and started again."""
-
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike and mend."""
-        node = world.pick_node()
-        number = world.randomness.choice(_SIGNALS)
+    """A node gets a random signal, then SIGTERM, and is started again."""
+
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject and clear the fault."""
+        node = environment.pick_node()
+        number = environment.randomness.choice(_SIGNALS)
         if number is signal.SIGHUP:
             node.reload()
         else:
             node.send_signal(number)
         await node.stop()
-        await curio.sleep(lasting * _AWAY_PART)
+        await curio.sleep(duration * _RESTART_AFTER_FRACTION)
         node.start()
         return node.name
 
 
 class AllNodesReloaded(Fault):
-    """Every node is told to read its settings again."""
+    """Every node is told to reload its settings."""
 
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike."""
-        for node in world.nodes:
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject the fault."""
+        for node in environment.nodes:
             node.reload()
         return 'all'
 
 
 class AllNodesKilled(Fault):
-    """Every node is killed at once, and all start again."""
+    """All nodes are killed at once and started again."""
 
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike and mend."""
-        for node in world.nodes:
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject and clear the fault."""
+        for node in environment.nodes:
             node.kill()
-        await curio.sleep(lasting * _AWAY_PART)
-        for node in world.nodes:
+        await curio.sleep(duration * _RESTART_AFTER_FRACTION)
+        for node in environment.nodes:
             node.start()
         return 'all'
 
 
 class LinkFault(Fault):
-    """The way to a database is slow, cut one way, silent or reset."""
-
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike and mend."""
-        name = world.randomness.choice(sorted(world.links))
-        link = world.links[name]
-        link.delay = _SLOW_DELAY
-        link.state = world.randomness.choice(tuple(LinkState))
+    """The link to a database is slow, blocked or reset."""
+
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject and clear the fault."""
+        name = environment.randomness.choice(sorted(environment.links))
+        link = environment.links[name]
+        link.delay = _SLOW_DELAY_S
+        link.state = environment.randomness.choice(tuple(LinkState))
         if link.state is LinkState.OPEN:
             await link.reset()
         state = link.state
-        await curio.sleep(lasting)
+        await curio.sleep(duration)
         link.state = LinkState.OPEN
         return f'{name} {state}'
 
 
 class DatabaseFault(Fault):
-    """A database is dark, crashes, is full, or receives nothing."""
+    """A database hangs, crashes, rejects statements or stops replicating."""
 
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike and mend."""
-        server = world.reserve_server(lambda each: each.is_running)
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject and clear the fault."""
+        server = environment.reserve_server(lambda each: each.is_running)
         if server is None:
             return 'none free'
-        kind = world.randomness.choice(('dark', 'crash', 'full', 'deaf'))
-        server.is_dark = kind == 'dark'
-        server.is_replication_blocked = kind == 'deaf'
+        kind = environment.randomness.choice(
+            ('unresponsive', 'crash', 'full', 'replication blocked')
+        )
+        server.is_dark = kind == 'unresponsive'
+        server.is_replication_blocked = kind == 'replication blocked'
         server.load.is_full = kind == 'full'
         if kind == 'crash':
             await server.crash()
-        await curio.sleep(lasting)
-        await world.restore_server(server)
+        await curio.sleep(duration)
+        await environment.restore_server(server)
         return f'{server.name} {kind}'
 
 
 class DatabaseAnswersLost(Fault):
-    """A database runs statements and their answers are lost."""
-
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike."""
-        name = world.randomness.choice(sorted(world.group.servers))
-        count = world.randomness.randint(1, _MOST_LOST)
-        world.group.servers[name].lost_answers = count
+    """A database executes statements without answering them."""
+
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject the fault."""
+        name = environment.randomness.choice(sorted(environment.group.servers))
+        count = environment.randomness.randint(1, _MAX_LOST_ANSWERS)
+        environment.group.servers[name].lost_answers = count
         return name
 
 
 class StoreFailure(Fault):
-    """The store is away for everybody, or turns one node away."""
-
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike and mend."""
-        fault = world.randomness.choice(_STORE_FAULTS)
-        if world.randomness.choice((True, False)):
-            node = world.pick_node()
-            world.store.turned_away[node.name] = fault
-            await curio.sleep(lasting)
-            world.store.turned_away.pop(node.name, None)
+    """The store fails for all nodes or for one."""
+
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject and clear the fault."""
+        fault = environment.randomness.choice(_STORE_FAULTS)
+        if environment.randomness.choice((True, False)):
+            node = environment.pick_node()
+            environment.store.turned_away[node.name] = fault
+            await curio.sleep(duration)
+            environment.store.turned_away.pop(node.name, None)
             return f'{node.name} {fault}'
-        world.store.fault = fault
-        await curio.sleep(lasting)
-        world.store.fault = StoreFault.NONE
+        environment.store.fault = fault
+        await curio.sleep(duration)
+        environment.store.fault = StoreFault.NONE
         return f'all {fault}'
 
 
 class StoreHistoryCompacted(Fault):
-    """The store forgets its history."""
+    """The store discards its history of changes."""
 
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike."""
-        await world.store.compact_history()
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject the fault."""
+        await environment.store.compact_history()
         return 'store'
 
 
 class ChangedConfiguration(Fault):
-    """The operator adds a route."""
-
-    async def strike(self, world: SoakEnvironment, lasting: float) -> str:
-        """Strike."""
-        world.version += world.randomness.randint(1, _LONGEST_STEP)
-        config = build_config(world.version)
-        config['routes'].append(build_route(f'db-{world.version}', 'primary'))
-        await world.store.write('config', 'main', config)
-        return f'version {world.version}'
-
-
-#: What is drawn from; a kind that stands here more often strikes more often.
+    """The operator adds a route to the configuration."""
+
+    async def inject(
+        self, environment: SoakEnvironment, duration: float
+    ) -> str:
+        """Inject the fault."""
+        environment.version += environment.randomness.randint(
+            1, _MAX_VERSION_STEP
+        )
+        config = build_config(environment.version)
+        config['routes'].append(
+            build_route(f'db-{environment.version}', 'primary')
+        )
+        await environment.store.write('config', 'main', config)
+        return f'version {environment.version}'
+
+
+#: Drawn with equal probability per entry; repeated kinds are more frequent.
 FAULTS: Final[tuple[Fault, ...]] = (
     FrozenNode(),
     KilledNode(),
--- a/deckdrum/soak/links.py
+++ b/deckdrum/soak/links.py
@@ -1,4 +1,4 @@
-"""Loopback links that delay, reset, cut one way or silence connections."""
+"""Loopback TCP relays that delay, block or reset connections."""
 
 from enum import StrEnum
 from typing import Final
@@ -7,29 +7,28 @@
 
 from deckdrum.utils import Address, Listener, Stream, dial
 
-#: Longest wait for the far end of a link, in seconds.
 _DIAL_TIMEOUT_S: Final = 1.0
-#: Pause between two looks at a link that passes nothing on, in seconds.
-_POLL: Final = 0.02
+_POLL_INTERVAL_S: Final = 0.02
 
 
 class LinkState(StrEnum):
-    """What a link does with the bytes that it gets."""
+    """How a link treats the traffic that it relays."""
 
     OPEN = 'open'
     SLOW = 'slow'
-    #: What the far end sends is kept back.
+    #: Traffic from the target is blocked.
     ONE_WAY = 'one way'
+    #: Traffic in both directions is blocked.
     SILENT = 'silent'
 
 
 class FaultLink:
-    """A link to one address.
+    """TCP relay to one address, with faults that a test can set.
 
     Parameters
     ----------
     target : Address
-        The far end.
+        Address to which connections are relayed.
     """
 
     def __init__(self, target: Address) -> None:
@@ -38,61 +37,61 @@
         #: Delay of each chunk while the link is slow, in seconds.
         self.delay: float = 0
         self._listener = Listener(Address(target.host, 0), self._serve)
-        self._open: set[Stream] = set()
+        self._open_streams: set[Stream] = set()
 
     @property
     def address(self) -> Address:
-        """Where the link takes connections."""
+        """Address on which the link listens."""
         return self._listener.address
 
     async def start(self) -> None:
-        """Begin to take connections."""
+        """Start accepting connections."""
         await self._listener.start()
 
     async def close(self) -> None:
-        """Close the link and its connections."""
+        """Stop listening and close all connections."""
         await self._listener.close()
 
     async def reset(self) -> None:
         """Reset every open connection."""
-        for stream in list(self._open):
+        for stream in list(self._open_streams):
             await stream.abort()
 
     async def _serve(self, near: Stream) -> None:
         try:
             far = await dial(self.target, _DIAL_TIMEOUT_S)
         except ConnectionError:
-            # The database does not run: the caller sees a closed connection.
+            # The target is not running; returning closes the connection.
             return
         ends = {near, far}
-        self._open |= ends
+        self._open_streams |= ends
         try:
-            async with curio.TaskGroup(wait=any) as carrying:
-                await carrying.spawn(self._carry, near, far, False)
-                await carrying.spawn(self._carry, far, near, True)
+            async with curio.TaskGroup(wait=any) as relays:
+                await relays.spawn(self._relay, near, far, False)
+                await relays.spawn(self._relay, far, near, True)
         finally:
-            self._open -= ends
+            self._open_streams -= ends
             await far.close()
 
-    async def _carry(
+    async def _relay(
         self,
         source: Stream,
         sink: Stream,
         is_answer: bool,
     ) -> None:
         while chunk := await source.receive():
-            await self._hold_back(is_answer)
+            await self._wait_while_blocked(is_answer)
             try:
                 await sink.send(chunk)
             except ConnectionError:
-                # The other direction ends too.
+                # The task group then cancels the other direction.
                 return
 
-    async def _hold_back(self, is_answer: bool) -> None:
-        """Wait as long as the link keeps bytes of this direction."""
+    async def _wait_while_blocked(self, is_answer: bool) -> None:
+        """Apply the delay, and wait while this direction is blocked."""
         if self.state is LinkState.SLOW:
             await curio.sleep(self.delay)
         while self.state is LinkState.SILENT or (
             is_answer and self.state is LinkState.ONE_WAY
         ):
-            await curio.sleep(_POLL)
+            await curio.sleep(_POLL_INTERVAL_S)
--- a/deckdrum/soak/processes.py
+++ b/deckdrum/soak/processes.py
@@ -1,4 +1,4 @@
-"""Node processes, started and signalled from outside."""
+"""Start, signal and stop node processes."""
 
 import atexit
 import json
@@ -15,36 +15,34 @@
 from deckdrum.utils import Address
 from deckdrum.utils.http import HttpClient, Request
 
-#: Ports of every node, which has a loopback address to itself.
-_CLIENTS_PORT: Final = 8784
+#: Ports; the same on every node, as each has its own loopback address.
+_CLIENT_PORT: Final = 8784
 _READINESS_PORT: Final = 8785
 _PEER_PORTS: Final = (7440, 7455)
-#: Loopback networks; a soak takes one by the id of its process.
-_NETWORKS: Final = 250
-_ENDING: Final = frozenset((signal.SIGTERM, signal.SIGKILL))
-#: Time between SIGTERM and the kill, in seconds.
+#: Number of loopback networks; the id of the soak process selects one.
+_NETWORK_COUNT: Final = 250
+_TERMINATING_SIGNALS: Final = frozenset((signal.SIGTERM, signal.SIGKILL))
+#: Time between SIGTERM and SIGKILL.
 TERMINATION_GRACE_S: Final = 4.0
-#: Longest wait for the answer of a readiness probe, in seconds.
 _READINESS_TIMEOUT_S: Final = 0.5
-#: Pause between two looks at a process that is to end, in seconds.
-_POLL: Final = 0.05
+_POLL_INTERVAL_S: Final = 0.05
 _OK: Final = 200
-_HEXADECIMAL: Final = 16
+_HEXADECIMAL_BASE: Final = 16
 
 
 class NodeProcess:
-    """One node: ``python -m deckdrum.platform.program``.
+    """Process of one node: ``python -m deckdrum.platform.program``.
 
     Parameters
     ----------
     number : int
-        Tells the nodes of a soak apart; each has a loopback address.
+        Number of the node in the soak test; selects its loopback address.
     centre : str
-        Its data centre.
-    store, duties : Address
-        The store, as this node reaches it, and the promotion call.
+        Data centre of the node.
+    store, promotion_address : Address
+        Addresses of this node's store endpoint and of the promotion API.
     folder : Path
-        For its settings and its log.
+        Directory for the node's settings and log.
     """
 
     def __init__(
@@ -52,39 +50,39 @@
         number: int,
         centre: str,
         store: Address,
-        duties: Address,
+        promotion_address: Address,
         folder: Path,
     ) -> None:
         self.name = f'n{number}'
-        self.host = f'127.2.{os.getpid() % _NETWORKS}.{number + 1}'
-        #: Exit codes that no signal of the soak explains.
+        self.host = f'127.2.{os.getpid() % _NETWORK_COUNT}.{number + 1}'
+        #: Exit codes of errors and of exits that were not requested.
         self.unexpected_exits: list[int] = []
         self.log_path = folder / f'{self.name}.log'
         self._settings_path = folder / f'{self.name}.json'
         self._process: subprocess.Popen[bytes] | None = None
-        self._is_asked_to_end = False
+        self._is_termination_requested = False
         self._settings_path.write_text(
-            json.dumps(self._describe(centre, store, duties)),
+            json.dumps(self._build_settings(centre, store, promotion_address)),
         )
-        # A soak that is ended early must leave no node behind.
+        # Leaves no node process running if the soak test is interrupted.
         atexit.register(self.kill)
 
     @property
     def clients_address(self) -> Address:
-        """Where clients connect."""
-        return Address(self.host, _CLIENTS_PORT)
+        """Address for clients."""
+        return Address(self.host, _CLIENT_PORT)
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def start(self) -> None:
-        """Start the process, unless it runs."""
+        """Start the process unless it is running."""
         if self.is_running:
             return
         self.record_exit()
-        self._is_asked_to_end = False
+        self._is_termination_requested = False
         with self.log_path.open('ab') as log:
             self._process = subprocess.Popen(
                 [sys.executable, '-m', 'deckdrum.platform.program'],
@@ -94,57 +92,58 @@
             )
 
     def record_exit(self) -> None:
-        """Note an end that nobody asked for, or one with an error."""
+        """Record the exit code if the exit was unexpected."""
         if self._process is None or self.is_running:
             return
         code = self._process.returncode
-        if code > 0 or not self._is_asked_to_end:
+        if code > 0 or not self._is_termination_requested:
             self.unexpected_exits.append(code)
         self._process = None
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process runs."""
+        """Send a signal if the process is running."""
         if self._process is not None and self.is_running:
-            if number in _ENDING:
-                self._is_asked_to_end = True
+            if number in _TERMINATING_SIGNALS:
+                self._is_termination_requested = True
             self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its exit."""
         self.send_signal(signal.SIGKILL)
         self.wait()
 
     def reload(self) -> None:
-        """Send SIGHUP, unless the interpreter itself is still starting.
+        """Send SIGHUP if the process ignores or handles it.
 
-        Until its program runs, a process has no say in what a signal does.
+        Before the program has set its disposition, SIGHUP would terminate the
+        process.
         """
         if self.is_running and self.has_sighup_disposition():
             self.send_signal(signal.SIGHUP)
 
     def ignores_sighup(self) -> bool:
-        """Tell whether the process ignores SIGHUP."""
-        return self._has_mask('SigIgn')
+        """Return whether the process ignores SIGHUP."""
+        return self._is_sighup_in_mask('SigIgn')
 
     def has_sighup_disposition(self) -> bool:
-        """Tell whether the process ignores or handles SIGHUP by now."""
-        return self.ignores_sighup() or self._has_mask('SigCgt')
+        """Return whether the process ignores or handles SIGHUP."""
+        return self.ignores_sighup() or self._is_sighup_in_mask('SigCgt')
 
     def wait(self) -> None:
-        """Wait until the process has ended."""
+        """Wait for the exit of the process."""
         if self._process is not None:
             self._process.wait()
 
-    async def stop(self, limit: float = TERMINATION_GRACE_S) -> None:
-        """Ask the process to stop, and kill it after `limit` seconds."""
+    async def stop(self, timeout: float = TERMINATION_GRACE_S) -> None:
+        """Send SIGTERM, and SIGKILL after `timeout` seconds."""
         self.send_signal(signal.SIGTERM)
-        async with curio.ignore_after(limit):
+        async with curio.ignore_after(timeout):
             while self.is_running:
-                await curio.sleep(_POLL)
+                await curio.sleep(_POLL_INTERVAL_S)
         self.kill()
 
     async def is_ready(self) -> bool:
-        """Tell whether the node calls for clients."""
+        """Return whether the readiness probe of the node succeeds."""
         client = HttpClient(
             Address(self.host, _READINESS_PORT), _READINESS_TIMEOUT_S
         )
@@ -158,25 +157,25 @@
             await client.close()
         return reply.status == _OK
 
-    def _has_mask(self, field: str) -> bool:
-        """Tell whether SIGHUP is in a mask of the process's status."""
+    def _is_sighup_in_mask(self, field: str) -> bool:
+        """Return whether a signal mask in /proc contains SIGHUP."""
         if self._process is None:
             return False
         path = Path(f'/proc/{self._process.pid}/status')
         try:
             text = path.read_text()
         except OSError:
-            # It ends in this moment.
+            # The process has just exited.
             return False
         _, _, rest = text.partition(f'{field}:')
-        mask = int(rest.split()[0], _HEXADECIMAL) if rest else 0
+        mask = int(rest.split()[0], _HEXADECIMAL_BASE) if rest else 0
         return bool(mask & 1 << (signal.SIGHUP - 1))
 
-    def _describe(
+    def _build_settings(
         self,
         centre: str,
         store: Address,
-        duties: Address,
+        promotion_address: Address,
     ) -> dict[str, object]:
         return {
             'nodeName': self.name,
@@ -190,5 +189,5 @@
             'seeds': [],
             'bounds': {'graceS': TERMINATION_GRACE_S},
             'platform': {'address': str(store)},
-            'cloudApi': {'address': str(duties)},
+            'cloudApi': {'address': str(promotion_address)},
         }
--- a/deckdrum/soak/records.py
+++ b/deckdrum/soak/records.py
@@ -1,17 +1,17 @@
-"""What the callers of a soak asked, and what they were told."""
+"""Records of the operations that callers sent, and of their outcomes."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
 
 
-class Fate(StrEnum):
-    """What a caller knows of its attempt."""
+class AttemptOutcome(StrEnum):
+    """Outcome of an attempt as far as the caller knows."""
 
     DONE = 'done'
-    #: It was promised that nothing is kept.
-    NOT_KEPT = 'not kept'
-    #: The caller itself rolled back, or never asked to commit.
-    NOT_ASKED = 'not asked'
+    #: An error code guaranteed that no change was committed.
+    NOT_COMMITTED = 'not kept'
+    #: The caller rolled back or never sent COMMIT.
+    NOT_REQUESTED = 'not asked'
     UNKNOWN = 'unknown'
 
 
@@ -22,26 +22,26 @@
     Attributes
     ----------
     session : str
-        The caller's session.
+        Id of the caller's session.
     database : str
-        The route's name.
+        Name of the route.
     began_at, ended_at : float
-        When the first byte was sent and the last answer came, in seconds.
-    texts : dict of str to str
-        Statements by id, as they were sent.
+        Times of the first request and of the last answer, in seconds.
+    statements : dict of str to str
+        Statement texts as sent, by request id.
     writes : list of str
-        Ids of those that change data.
+        Request ids of the statements that change data.
     reads : list of tuple
-        Thing and row of each answered read.
-    fate : Fate
-        What the caller knows.
+        Key and row of each answered read.
+    outcome : AttemptOutcome
+        Outcome as far as the caller knows.
     """
 
     session: str
     database: str
     began_at: float = 0
     ended_at: float = 0
-    texts: dict[str, str] = field(default_factory=dict)
+    statements: dict[str, str] = field(default_factory=dict)
     writes: list[str] = field(default_factory=list)
     reads: list[tuple[str, str]] = field(default_factory=list)
-    fate: Fate = Fate.UNKNOWN
+    outcome: AttemptOutcome = AttemptOutcome.UNKNOWN
--- a/deckdrum/soak/runner.py
+++ b/deckdrum/soak/runner.py
@@ -1,4 +1,4 @@
-"""Running a soak: callers and faults for a while, then quiet, then checks."""
+"""Run a soak test: load with faults, recovery, then checks."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -21,29 +21,27 @@
 from deckdrum.soak.world import SoakEnvironment
 from deckdrum.standins.users import StoreFault
 
-#: Longest wait until every node serves, at the start and after the faults, in
-#: seconds.  It only ends a soak that would not end by itself.
+#: Longest wait until every node serves, at the start and after the faults.
 RECOVERY_TIMEOUT_S: Final = 60.0
-#: Time for late answers and for replicas once the callers are done, in s.
-_SETTLE: Final = 1.0
-#: Pause between two looks whether every node serves, in seconds.
-_POLL: Final = 0.1
+#: Time for late answers and replication once the callers have finished.
+_SETTLE_DELAY_S: Final = 1.0
+_POLL_INTERVAL_S: Final = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """What a soak is to do.
+    """Parameters of a soak test.
 
     Attributes
     ----------
     seed : int
-        Of all that is drawn.
+        Seed of all random choices.
     seconds : float
-        How long faults strike.
+        Time during which faults are injected.
     nodes, callers : int
-        Node processes and callers.
+        Numbers of node processes and of callers.
     series : int
-        Series of faults that overlap.
+        Number of concurrent series of faults.
     """
 
     seed: int
@@ -55,10 +53,10 @@
 
 @dataclass(slots=True)
 class SoakReport:
-    """What a soak has found.
+    """Result of a soak test.
 
-    `broken` lists promises that were broken; `faults` what was struck, in the
-    order in which it was mended; `outcome_counts` counts attempts by how they ended.
+    `broken` lists the violated guarantees, `faults` the injected faults in the
+    order in which they ended, `outcome_counts` the attempts by their outcome.
     """
 
     broken: list[str] = field(default_factory=list)
@@ -67,143 +65,147 @@
 
 
 class Soak:
-    """One soak.
+    """One run of a soak test.
 
     Parameters
     ----------
     plan : SoakPlan
-        What to do.
+        Parameters of the run.
     folder : Path
-        For settings and logs of the nodes; the logs stay there.
+        Directory for settings and logs of the nodes; the logs are kept.
     """
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         self._plan = plan
         self._randomness = Random(plan.seed)
-        self._world = SoakEnvironment(folder, Random(self._randomness.random()))
+        self._environment = SoakEnvironment(
+            folder, Random(self._randomness.random())
+        )
         self._report = SoakReport()
         self._callers: list[Caller] = []
         self._are_faults_over = False
 
     async def run(self) -> SoakReport:
-        """Run it and return what was found."""
+        """Run the soak test and return its report."""
         try:
-            await self._world.start(self._plan.nodes)
-            await self._await_ready()
-            await self._load()
+            await self._environment.start(self._plan.nodes)
+            await self._wait_until_ready()
+            await self._run_phases()
         finally:
-            for node in self._world.nodes:
-                self._report.broken.extend(find_node_faults(node))
-            await self._world.close()
+            for node in self._environment.nodes:
+                self._report.broken.extend(find_node_failures(node))
+            await self._environment.close()
         return self._report
 
-    async def _load(self) -> None:
-        """Have callers at work while faults strike, and after it."""
-        calling = [
-            await curio.spawn(self._call, number, daemon=True)
+    async def _run_phases(self) -> None:
+        """Run callers during and after the faults, then check the results."""
+        caller_tasks = [
+            await curio.spawn(self._run_caller, number, daemon=True)
             for number in range(self._plan.callers)
         ]
-        await self._strike_all()
-        self._mend()
-        await self._await_served()
+        await self._inject_faults()
+        self._clear_faults()
+        await self._wait_until_serving()
         for caller in self._callers:
-            caller.is_over = True
-        for task in calling:
+            caller.is_stopped = True
+        for task in caller_tasks:
             await task.join()
-        await curio.sleep(_SETTLE)
-        self._judge()
+        await curio.sleep(_SETTLE_DELAY_S)
+        self._check_guarantees()
 
-    async def _strike_all(self) -> None:
-        """Strike in every series for as long as is planned."""
-        striking = [
-            await curio.spawn(self._strike, daemon=True)
+    async def _inject_faults(self) -> None:
+        """Run all series of faults for the planned time."""
+        fault_tasks = [
+            await curio.spawn(self._run_fault_series, daemon=True)
             for _ in range(self._plan.series)
         ]
         await curio.sleep(self._plan.seconds)
         self._are_faults_over = True
-        for task in striking:
+        for task in fault_tasks:
             await task.join()
 
-    async def _call(self, number: int) -> None:
+    async def _run_caller(self, number: int) -> None:
         caller = Caller(
             f'c{number}',
-            self._world.nodes,
+            self._environment.nodes,
             Random(f'{self._plan.seed}/{number}'),
         )
         self._callers.append(caller)
         await caller.run()
 
-    async def _strike(self) -> None:
-        """Strike with one fault after the other until they are over."""
+    async def _run_fault_series(self) -> None:
+        """Inject one fault after another until the planned time is over."""
         while not self._are_faults_over:
             fault = self._randomness.choice(FAULTS)
-            lasting = self._randomness.uniform(
+            duration = self._randomness.uniform(
                 MIN_FAULT_DURATION_S, MAX_FAULT_DURATION_S
             )
-            struck = await fault.strike(self._world, lasting)
+            target = await fault.inject(self._environment, duration)
             kind = type(fault).__name__
-            self._report.faults.append(f'{kind} {struck} {lasting:.1f} s')
+            self._report.faults.append(f'{kind} {target} {duration:.1f} s')
             await curio.sleep(self._randomness.random())
 
-    def _mend(self) -> None:
-        """Make sure that nothing stays broken."""
-        self._world.store.fault = StoreFault.NONE
-        self._world.store.turned_away.clear()
-        for link in self._world.links.values():
+    def _clear_faults(self) -> None:
+        """Clear faults of store and links and start stopped nodes."""
+        self._environment.store.fault = StoreFault.NONE
+        self._environment.store.turned_away.clear()
+        for link in self._environment.links.values():
             link.state = LinkState.OPEN
-        for node in self._world.nodes:
+        for node in self._environment.nodes:
             node.start()
 
-    async def _await_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         async with curio.timeout_after(RECOVERY_TIMEOUT_S):
-            for node in self._world.nodes:
+            for node in self._environment.nodes:
                 while not await node.is_ready():
-                    await curio.sleep(_POLL)
+                    await curio.sleep(_POLL_INTERVAL_S)
 
-    async def _await_served(self) -> None:
-        """Wait until every node serves again."""
+    async def _wait_until_serving(self) -> None:
+        """Wait until every node serves a caller; report those that do not."""
         since = await curio.clock()
         async with curio.ignore_after(RECOVERY_TIMEOUT_S):
-            while self._find_unserved(since):
-                await curio.sleep(_POLL)
+            while self._find_unserving_nodes(since):
+                await curio.sleep(_POLL_INTERVAL_S)
         self._report.broken.extend(
-            f'{name} does not serve again'
-            for name in self._find_unserved(since)
+            f'{name} served no caller after the faults'
+            for name in self._find_unserving_nodes(since)
         )
 
-    def _find_unserved(self, since: float) -> list[str]:
+    def _find_unserving_nodes(self, since: float) -> list[str]:
         return [
             node.name
-            for node in self._world.nodes
+            for node in self._environment.nodes
             if not any(
                 caller.last_served_at.get(node.name, 0) > since
                 for caller in self._callers
             )
         ]
 
-    def _judge(self) -> None:
-        group = self._world.group
+    def _check_guarantees(self) -> None:
+        group = self._environment.group
         attempts: list[Attempt] = []
         for caller in self._callers:
             attempts.extend(caller.attempts)
-        evidence = SoakHistory(attempts, group.primary.log, group.ran)
-        self._report.broken.extend(find_violations(evidence))
-        self._report.outcome_counts.update(attempt.fate for attempt in attempts)
+        history = SoakHistory(attempts, group.primary.log, group.ran)
+        self._report.broken.extend(find_violations(history))
+        self._report.outcome_counts.update(
+            attempt.outcome for attempt in attempts
+        )
 
 
 async def run_soak(plan: SoakPlan, folder: Path) -> SoakReport:
-    """Run a soak; the nodes' logs stay in `folder`."""
+    """Run a soak test; the logs of the nodes are kept in `folder`."""
     return await Soak(plan, folder).run()
 
 
-def find_node_faults(node: NodeProcess) -> list[str]:
-    """Return ends of a node by itself, and errors that nobody caught."""
+def find_node_failures(node: NodeProcess) -> list[str]:
+    """Return unexpected exits and uncaught exceptions of a node."""
     node.record_exit()
     found = [
-        f'{node.name} ended by itself with {code}'
+        f'{node.name} exited unexpectedly with code {code}'
         for code in node.unexpected_exits
     ]
     text = node.log_path.read_text(errors='replace')
     if 'Traceback' in text:
-        found.append(f'{node.name} logged an error that nobody caught')
+        found.append(f'{node.name} logged an uncaught exception')
     return found
--- a/deckdrum/soak/tests/test_links.py
+++ b/deckdrum/soak/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links of the soak, in virtual time."""
+"""Delay, blocking and reset of links, in virtual time."""
 
 from collections.abc import Awaitable, Callable
 
@@ -17,7 +17,7 @@
         await stream.send(chunk)
 
 
-async def _play(scenario: _Scenario) -> None:
+async def _run_scenario(scenario: _Scenario) -> None:
     far = Listener(Address('127.0.0.1', 0), _echo)
     await far.start()
     link = FaultLink(far.address)
@@ -29,33 +29,33 @@
     await far.close()
 
 
-async def _ask(stream: Stream, limit: float) -> bytes:
+async def _ask(stream: Stream, timeout: float) -> bytes:
     await stream.send(b'x')
     answer = b''
-    async with curio.ignore_after(limit):
+    async with curio.ignore_after(timeout):
         answer = await stream.receive()
     return answer
 
 
-def test_open_link_passes_bytes_on() -> None:
+def test_open_link_relays_traffic() -> None:
     async def scenario(link: FaultLink, stream: Stream) -> None:
         assert await _ask(stream, 0.1) == b'x'
 
-    run_virtual(_play, scenario)
+    run_virtual(_run_scenario, scenario)
 
 
 @pytest.mark.parametrize('state', [LinkState.ONE_WAY, LinkState.SILENT])
-def test_cut_link_keeps_bytes_until_it_is_mended(state: LinkState) -> None:
+def test_blocked_link_delivers_after_it_is_reopened(state: LinkState) -> None:
     async def scenario(link: FaultLink, stream: Stream) -> None:
         link.state = state
         assert await _ask(stream, 5.0) == b''
         link.state = LinkState.OPEN
         assert await stream.receive() == b'x'
 
-    run_virtual(_play, scenario)
+    run_virtual(_run_scenario, scenario)
 
 
-def test_slow_link_delays_both_ways() -> None:
+def test_slow_link_delays_both_directions() -> None:
     async def scenario(link: FaultLink, stream: Stream) -> None:
         link.state = LinkState.SLOW
         link.delay = 0.5
@@ -63,13 +63,13 @@
         assert await _ask(stream, 5.0) == b'x'
         assert await curio.clock() - began >= 2 * link.delay
 
-    run_virtual(_play, scenario)
+    run_virtual(_run_scenario, scenario)
 
 
-def test_reset_ends_open_connections() -> None:
+def test_reset_closes_open_connections() -> None:
     async def scenario(link: FaultLink, stream: Stream) -> None:
         await _ask(stream, 0.1)
         await link.reset()
         assert await stream.receive() == b''
 
-    run_virtual(_play, scenario)
+    run_virtual(_run_scenario, scenario)
--- a/deckdrum/soak/tests/test_processes.py
+++ b/deckdrum/soak/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Ends of node processes that nobody asked for are noted."""
+"""Unexpected exits of node processes are recorded."""
 
 import signal
 import time
@@ -8,17 +8,16 @@
 from deckdrum.soak.processes import NodeProcess
 from deckdrum.utils import Address
 
-_NOWHERE = Address('127.0.0.1', 9)
-#: Pause between two looks at a process, in seconds.
-_POLL: Final = 0.001
+_UNUSED_ADDRESS = Address('127.0.0.1', 9)
+_POLL_INTERVAL_S: Final = 0.001
 
 
 def build_node(folder: Path) -> NodeProcess:
-    """Return a node that reaches neither store nor databases."""
-    return NodeProcess(9, 'ba-hall', _NOWHERE, _NOWHERE, folder)
+    """Return a node that can reach neither store nor databases."""
+    return NodeProcess(9, 'ba-hall', _UNUSED_ADDRESS, _UNUSED_ADDRESS, folder)
 
 
-def test_asked_end_is_not_strange(tmp_path: Path) -> None:
+def test_requested_exit_is_not_recorded(tmp_path: Path) -> None:
     node = build_node(tmp_path)
     node.start()
     node.kill()
@@ -26,7 +25,7 @@
     assert not node.unexpected_exits
 
 
-def test_crash_is_strange(tmp_path: Path) -> None:
+def test_crash_is_recorded(tmp_path: Path) -> None:
     node = build_node(tmp_path)
     node.start()
     node.send_signal(signal.SIGABRT)
@@ -35,15 +34,17 @@
     assert node.unexpected_exits == [-signal.SIGABRT]
 
 
-def test_reload_during_the_start_does_not_end_a_node(tmp_path: Path) -> None:
+def test_reload_during_startup_does_not_terminate_the_node(
+    tmp_path: Path,
+) -> None:
     node = build_node(tmp_path)
     node.start()
-    # As early as the program has a say.
+    # The earliest moment at which `reload` sends a signal.
     while node.is_running and not node.has_sighup_disposition():
-        time.sleep(_POLL)
+        time.sleep(_POLL_INTERVAL_S)
     for _ in range(3):
         node.reload()
-        time.sleep(_POLL)
+        time.sleep(_POLL_INTERVAL_S)
     is_running = node.is_running
     node.kill()
     node.record_exit()
--- a/deckdrum/soak/world.py
+++ b/deckdrum/soak/world.py
@@ -1,4 +1,4 @@
-"""What the faults of a soak strike: nodes, databases, links, the store."""
+"""Environment of a soak test: nodes, databases, links and the store."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,26 +13,26 @@
 
 @dataclass(slots=True)
 class SoakEnvironment:
-    """One deployment of a soak.
+    """The processes and stand-ins of one soak test.
 
     Attributes
     ----------
     folder : Path
-        For settings and logs of the nodes.
+        Directory for settings and logs of the nodes.
     randomness : random.Random
-        Draws what is struck.
+        Selects the targets of faults.
     store : StandinStore
         The platform's store.
     group : DatabaseGroup
-        The databases.
+        The database group.
     nodes : list of NodeProcess
         The nodes.
     links : dict of str to FaultLink
-        The way to each database, by its id.
+        Link in front of each database, by database id.
     version : int
-        Of the latest configuration.
-    struck : set of str
-        Databases that a fault has in its hands.
+        Version of the latest configuration.
+    faulty_servers : set of str
+        Ids of the databases on which a fault is active.
     """
 
     folder: Path
@@ -42,7 +42,7 @@
     nodes: list[NodeProcess] = field(default_factory=list)
     links: dict[str, FaultLink] = field(default_factory=dict)
     version: int = 1
-    struck: set[str] = field(default_factory=set)
+    faulty_servers: set[str] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         self.group = DatabaseGroup(SERVICE, self.store, synchronous=1)
@@ -52,12 +52,12 @@
         await self.store.write('config', 'main', build_config())
         await self.group.start(ZONES)
         for server in self.group.servers.values():
-            await self._put_link_before(server)
+            await self._publish_through_link(server)
         for number in range(nodes):
             await self._start_node(number)
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop the nodes and close links, databases and store."""
         for node in self.nodes:
             node.kill()
         for link in self.links.values():
@@ -66,30 +66,31 @@
         await self.store.close()
 
     def pick_node(self) -> NodeProcess:
-        """Return any node."""
+        """Return a randomly selected node."""
         return self.randomness.choice(self.nodes)
 
     def reserve_server(
         self,
-        fits: Callable[[DatabaseServer], bool],
+        is_suitable: Callable[[DatabaseServer], bool],
     ) -> DatabaseServer | None:
-        """Return a database that fits, if any; none while a fault holds one.
+        """Return a random suitable database and mark it as faulty.
 
-        One database at a time: two of three must go on, or nothing can.
+        Returns None if no database is suitable or if one is faulty already: a
+        majority of the three databases must keep working.
         """
-        free = [
+        candidates = [
             server
             for _, server in sorted(self.group.servers.items())
-            if fits(server)
+            if is_suitable(server)
         ]
-        if self.struck or not free:
+        if self.faulty_servers or not candidates:
             return None
-        server = self.randomness.choice(free)
-        self.struck.add(server.name)
+        server = self.randomness.choice(candidates)
+        self.faulty_servers.add(server.name)
         return server
 
     async def restore_server(self, server: DatabaseServer) -> None:
-        """Have a database that was struck take part again."""
+        """Clear the faults of a database and let it rejoin its group."""
         server.is_dark = False
         server.is_replication_blocked = False
         server.load.is_full = False
@@ -99,10 +100,10 @@
             await server.start()
             link.target = server.address
         await self.group.rejoin(server)
-        self.struck.discard(server.name)
+        self.faulty_servers.discard(server.name)
 
-    async def _put_link_before(self, server: DatabaseServer) -> None:
-        """Have the nodes reach a database through a link."""
+    async def _publish_through_link(self, server: DatabaseServer) -> None:
+        """Put a link in front of a database and publish its address."""
         link = FaultLink(server.address)
         await link.start()
         self.links[server.name] = link
--- a/deckdrum/standins/__init__.py
+++ b/deckdrum/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Test stand-ins for the systems around the product; not for real use."""
+"""Stand-ins for external systems, for tests and benchmarks only."""
--- a/deckdrum/standins/database.py
+++ b/deckdrum/standins/database.py
@@ -1,7 +1,7 @@
 """A stand-in database server.
 
-TEST STAND-IN: speaks the PostgreSQL protocol, executes SQL by `sqlite3` and
-takes part in a replicated group.
+TEST STAND-IN: serves the PostgreSQL protocol, executes SQL with `sqlite3` and
+is a member of a replicated group.
 """
 
 from typing import Any
@@ -21,12 +21,12 @@
 
 
 class StandinDatabase(ReplicatedDatabase):
-    """One database server that listens.
+    """One database server, with its listener.
 
     Parameters
     ----------
     profile : DatabaseProfile
-        Its properties.
+        Properties of the server.
     """
 
     def __init__(self, profile: DatabaseProfile) -> None:
@@ -36,11 +36,11 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address on which the server listens."""
         return self.profile.address
 
     async def start(self) -> None:
-        """Start the server, or start it again after a crash."""
+        """Start the server, also after a crash."""
         self.write_lock = curio.Lock()
         self._listener = Listener(self.profile.address, self._serve)
         await self._listener.start()
@@ -52,7 +52,7 @@
         ]
 
     async def crash(self) -> None:
-        """Stop at once; what is in the log stays."""
+        """Stop at once; the log is kept."""
         self.running = False
         if self._listener is not None:
             await self._listener.close()
@@ -63,7 +63,7 @@
         self.sessions.clear()
 
     async def close(self) -> None:
-        """Stop and remove everything."""
+        """Stop and remove the stored files."""
         await self.crash()
         self.engine.close()
 
--- a/deckdrum/standins/engine.py
+++ b/deckdrum/standins/engine.py
@@ -1,4 +1,4 @@
-"""Storage of a stand-in database: SQL by `sqlite3` and a log of changes.
+"""Storage of a stand-in database: `sqlite3` and a replicated log.
 
 TEST STAND-IN.  The log is a list of committed transactions, each a list of
 SQL statements; a replica replays them.  Statements must be deterministic.
@@ -14,12 +14,12 @@
 import sqlglot
 
 Scalar = int | float | str | bytes | None
-_PLAN_ENTRIES: Final = 1024
+_MAX_CACHED_STATEMENTS: Final = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One changing statement with its parameters."""
+    """One data-changing statement with its arguments."""
 
     text: str
     arguments: tuple[Scalar, ...] = ()
@@ -37,9 +37,9 @@
     changes: tuple[Change, ...] = ()
 
 
-@lru_cache(maxsize=_PLAN_ENTRIES)
+@lru_cache(maxsize=_MAX_CACHED_STATEMENTS)
 def translate(text: str) -> str:
-    """Return `text` in the dialect of `sqlite3`."""
+    """Translate a statement from the PostgreSQL to the SQLite dialect."""
     if '::' not in text:
         return text
     trees = sqlglot.parse(text, read='postgres')
@@ -48,9 +48,9 @@
     )
 
 
-@lru_cache(maxsize=_PLAN_ENTRIES)
+@lru_cache(maxsize=_MAX_CACHED_STATEMENTS)
 def split_statements(text: str) -> tuple[str, ...]:
-    """Cut a simple query into its statements."""
+    """Split a simple query into statements."""
     if ';' not in text.strip().rstrip(';'):
         return (text,) if text.strip(' ;\n\t') else ()
     tokens = sqlglot.tokenize(text, read='postgres')
@@ -66,30 +66,30 @@
 
 @dataclass(slots=True)
 class Engine:
-    """The stored state of one database.
+    """Stored state of one database.
 
     Attributes
     ----------
     log : list of LogEntry
-        What is durable here; its length is the received offset.
+        Durable log; its length is the received offset.
     applied : int
-        Log entries that readers see.
+        Number of log entries that are visible to readers.
     """
 
     name: str
     log: list[LogEntry] = field(default_factory=list)
     applied: int = 0
-    _folder: tempfile.TemporaryDirectory[str] | None = None
+    _directory: tempfile.TemporaryDirectory[str] | None = None
     _writer: sqlite3.Connection | None = None
 
     @property
     def received(self) -> int:
-        """Offset up to which the log is durable here."""
+        """Number of entries in the durable log."""
         return len(self.log)
 
     @property
     def writer(self) -> sqlite3.Connection:
-        """The connection by which replicated changes are applied."""
+        """Connection that applies replicated changes."""
         if self._writer is None:
             self._writer = self.connect()
             self._writer.execute('PRAGMA journal_mode=WAL')
@@ -97,24 +97,24 @@
 
     def connect(self) -> sqlite3.Connection:
         """Return a new connection for one session."""
-        if self._folder is None:
-            self._folder = tempfile.TemporaryDirectory(prefix='deckdrum-')
-        path = os.path.join(self._folder.name, 'db')
-        link = sqlite3.connect(
+        if self._directory is None:
+            self._directory = tempfile.TemporaryDirectory(prefix='deckdrum-')
+        path = os.path.join(self._directory.name, 'db')
+        connection = sqlite3.connect(
             path,
             isolation_level=None,
             timeout=0,
             check_same_thread=False,
         )
-        link.execute('PRAGMA synchronous=OFF')
-        return link
+        connection.execute('PRAGMA synchronous=OFF')
+        return connection
 
     def append(self, entry: LogEntry) -> None:
-        """Add an entry to the log; readers do not see it yet."""
+        """Append an entry to the log without applying it."""
         self.log.append(entry)
 
     def apply_next(self) -> None:
-        """Make the next entry of the log visible."""
+        """Apply the next entry of the log."""
         entry = self.log[self.applied]
         self.writer.execute('BEGIN IMMEDIATE')
         for change in entry.changes:
@@ -123,7 +123,7 @@
         self.applied += 1
 
     def is_prefix_of(self, other: 'Engine') -> bool:
-        """Tell whether this log is the beginning of `other`'s."""
+        """Return whether this log is a prefix of the log of `other`."""
         if self.received > other.received:
             return False
         if not self.log:
@@ -131,7 +131,7 @@
         return self.log[-1] == other.log[self.received - 1]
 
     def copy_from(self, other: 'Engine') -> None:
-        """Replace everything here by the state of `other`."""
+        """Replace log and data by the applied state of `other`."""
         other.writer.backup(self.writer)
         self.writer.execute('PRAGMA journal_mode=WAL')
         self.log = other.log[: other.applied]
@@ -142,15 +142,15 @@
         if self._writer is not None:
             self._writer.close()
             self._writer = None
-        if self._folder is not None:
-            self._folder.cleanup()
-            self._folder = None
+        if self._directory is not None:
+            self._directory.cleanup()
+            self._directory = None
 
 
-def run(link: sqlite3.Connection, change: Change) -> sqlite3.Cursor:
-    """Execute one statement; ``$1`` names the first argument."""
+def run(connection: sqlite3.Connection, change: Change) -> sqlite3.Cursor:
+    """Execute one statement; ``$1`` is the first argument."""
     named = {
-        str(place): argument
-        for place, argument in enumerate(change.arguments, start=1)
+        str(position): argument
+        for position, argument in enumerate(change.arguments, start=1)
     }
-    return link.execute(translate(change.text), named)
+    return connection.execute(translate(change.text), named)
--- a/deckdrum/standins/platform.py
+++ b/deckdrum/standins/platform.py
@@ -1,8 +1,8 @@
-"""A stand-in for the platform's object API.
+"""A stand-in for the object API of the platform.
 
 TEST STAND-IN: objects with versions, conditional updates and watches, and a
-lagging list of instances.  It can be slow or down, or lose an answer after
-the change took effect.  Each call is counted, a waiting watch as one.
+delayed list of instances.  Faults are slow answers, an outage, and answers lost
+after the update was applied.  Calls are counted; a long poll counts as one.
 """
 
 import json
@@ -17,11 +17,11 @@
 from deckdrum.utils import Address
 from deckdrum.utils.http import HttpServer, Reply, Request
 
-_PREFIX: Final = '/objects/'
+_PATH_PREFIX: Final = '/objects/'
 _OK: Final = 200
 _NOT_FOUND: Final = 404
 _CONFLICT: Final = 412
-_MAX_BYTES: Final = 1_000_000
+_MAX_BODY_BYTES: Final = 1_000_000
 _TOO_LARGE: Final = 413
 
 
@@ -32,11 +32,11 @@
     Attributes
     ----------
     down : bool
-        Connections are dropped without an answer.
+        Whether connections are closed without an answer.
     delay : float
-        Seconds before each answer.
+        Delay of each answer in seconds.
     lost_answers : int
-        Updates still to come whose answer is lost after they took effect.
+        Number of upcoming updates that are applied without an answer.
     """
 
     down: bool = False
@@ -58,20 +58,20 @@
 
 
 class StandinPlatform:
-    """The platform.
+    """HTTP server for the object API of the platform.
 
     Parameters
     ----------
     address : Address
-        Where to listen.
+        Address to listen on.
     list_lag : float
-        Seconds by which the list of instances lags.
+        Delay in seconds until a change of the list of instances is visible.
     """
 
     def __init__(self, address: Address, list_lag: float = 2.0) -> None:
         self.faults = PlatformFaults()
         self.calls: Counter[str] = Counter()
-        self._server = HttpServer(address, self._answer)
+        self._server = HttpServer(address, self._handle_request)
         self._list_lag = list_lag
         self._entries: dict[str, _Entry] = {}
         self._listing = _Listing()
@@ -80,15 +80,15 @@
 
     @property
     def address(self) -> Address:
-        """Where the platform listens."""
+        """Address on which the server listens."""
         return self._server.address
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start the server."""
         await self._server.start()
 
     async def close(self) -> None:
-        """Stop to listen."""
+        """Stop the server."""
         await self._server.close()
 
     async def list_instance(
@@ -96,7 +96,7 @@
         instance: Instance,
         at_once: bool = False,
     ) -> None:
-        """Add or change an instance; visible after the lag."""
+        """Add or change an instance; visible after `list_lag` or at once."""
         await curio.spawn(
             self._publish,
             instance.name,
@@ -106,7 +106,7 @@
         )
 
     async def unlist_instance(self, name: str) -> None:
-        """Remove an instance; visible after the lag."""
+        """Remove an instance; visible after `list_lag`."""
         await curio.spawn(
             self._publish,
             name,
@@ -116,7 +116,7 @@
         )
 
     def read_object(self, path: str) -> Any:
-        """Return the decoded body of an object, for checks by a test."""
+        """Return the decoded body of an object."""
         return json.loads(self._entries[path].body)
 
     async def _publish(
@@ -137,7 +137,7 @@
         async with self._changed:
             await self._changed.notify_all()
 
-    async def _answer(self, request: Request) -> Reply | None:
+    async def _handle_request(self, request: Request) -> Reply | None:
         kind = 'watch' if request.path == '/watch' else request.method
         self.calls[kind] += 1
         if self.faults.down:
@@ -145,9 +145,9 @@
         await curio.sleep(self.faults.delay)
         if kind == 'watch':
             return await self._watch(request)
-        if not request.path.startswith(_PREFIX):
+        if not request.path.startswith(_PATH_PREFIX):
             return Reply(_NOT_FOUND)
-        path = request.path[len(_PREFIX) :]
+        path = request.path[len(_PATH_PREFIX) :]
         if request.method == 'PUT':
             return await self._put(path, request)
         return self._get(path)
@@ -159,12 +159,12 @@
         return Reply(_OK, entry.body, {'etag': f'"{entry.version}"'})
 
     async def _put(self, path: str, request: Request) -> Reply | None:
-        if len(request.body) > _MAX_BYTES:
+        if len(request.body) > _MAX_BODY_BYTES:
             return Reply(_TOO_LARGE)
-        known = self._entries.get(path)
-        version = 0 if known is None else known.version
-        wanted = request.headers.get('if-match', '"0"').strip('"')
-        if str(version) != wanted:
+        current = self._entries.get(path)
+        version = 0 if current is None else current.version
+        expected_version = request.headers.get('if-match', '"0"').strip('"')
+        if str(version) != expected_version:
             return Reply(_CONFLICT)
         self._revision += 1
         version += 1
@@ -186,7 +186,7 @@
                     await self._changed.wait()
         if self.faults.down:
             return None
-        is_new = self._listing.revision > since
+        is_listing_newer = self._listing.revision > since
         listed = self._listing.instances.values()
         return Reply.from_json(
             {
@@ -202,7 +202,7 @@
                 ],
                 'instances': (
                     [msgspec.to_builtins(each) for each in listed]
-                    if is_new
+                    if is_listing_newer
                     else None
                 ),
             }
--- a/deckdrum/standins/replication.py
+++ b/deckdrum/standins/replication.py
@@ -1,7 +1,7 @@
 """Replication of a stand-in database: role, term, fencing and log.
 
-TEST STAND-IN.  It keeps a log with terms and offsets, replicates
-asynchronously with a settable lag, and can be paused, cut off, fenced and
+TEST STAND-IN: a log with terms and offsets that is replicated asynchronously
+with a configurable lag.  A database can be paused, partitioned, fenced and
 promoted.
 """
 
@@ -15,9 +15,8 @@
 from deckdrum.standins.engine import Change, Engine, LogEntry
 from deckdrum.utils import Address
 
-#: How often a stalled task looks whether its fault is over, in seconds.
 _FAULT_POLL_INTERVAL_S: Final = 0.02
-#: Longest wait for the log to grow before faults are looked at, in seconds.
+#: Roles and faults are checked again after this wait without log growth.
 _LOG_GROWTH_TIMEOUT_S: Final = 0.5
 
 
@@ -26,7 +25,7 @@
 
 
 class Role(StrEnum):
-    """What a database does in its group."""
+    """Replication role of a database."""
 
     PRIMARY = 'primary'
     REPLICA = 'replica'
@@ -34,7 +33,7 @@
 
 
 class FencedError(Exception):
-    """The database does not do this in its present term or role."""
+    """The role or term of the database does not allow the operation."""
 
 
 @dataclass(slots=True)
@@ -44,11 +43,12 @@
     Attributes
     ----------
     paused : bool
-        Nothing is answered; connections stay open.
+        Whether requests stay unanswered on open connections.
     cut_from : set of str
-        Names of proxies and databases whose traffic does not arrive.
+        Names of proxies and databases whose traffic is dropped.
     accepts_old_terms : bool
-        Break the contract: take the log of an outdated primary.
+        Whether fencing is ignored, against the contract: logs of outdated
+        primaries are accepted.
     """
 
     paused: bool = False
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True)
 class DatabaseProfile:
-    """Fixed properties of a stand-in database; times in seconds."""
+    """Properties of a stand-in database; times in seconds."""
 
     name: str
     data_centre: str
@@ -74,12 +74,12 @@
 
 
 class ReplicatedDatabase:
-    """What a database server keeps, without its listener.
+    """Replication state of a database server, without its listener.
 
     Parameters
     ----------
     profile : DatabaseProfile
-        Its properties.
+        Properties of the database.
     """
 
     def __init__(self, profile: DatabaseProfile) -> None:
@@ -95,7 +95,7 @@
         self.sessions: dict[int, Any] = {}
         self._source: str | None = None
         self.running = False
-        self._grown = curio.Condition()
+        self._log_grown = curio.Condition()
 
     @property
     def name(self) -> str:
@@ -111,12 +111,12 @@
         self.engine.applied = self.engine.received
 
     def fence(self, term: int) -> None:
-        """Refuse every log and write of terms before `term`.
+        """Reject logs and writes of terms before `term`.
 
         Raises
         ------
         FencedError
-            If a higher term has fenced this database already.
+            If this database is fenced at a higher term.
         """
         if term < self.fenced_term:
             raise FencedError(f'fenced at term {self.fenced_term}')
@@ -127,7 +127,7 @@
                 self.role = Role.FENCED
 
     async def promote(self, term: int) -> None:
-        """Become the primary of `term`; asking twice does no harm.
+        """Become the primary of `term`; idempotent.
 
         Raises
         ------
@@ -150,14 +150,15 @@
         Raises
         ------
         FencedError
-            If a higher term has fenced this database.
+            If this database is fenced at a higher term, or `source` is not the
+            reachable primary of `term`.
         """
         if term < self.fenced_term:
             raise FencedError(f'fenced at term {self.fenced_term}')
         if self._source == source and self.term == term:
             return
         primary = self.peers[source]
-        if not self._reaches(primary) or primary.term != term:
+        if not self._can_reach(primary) or primary.term != term:
             raise FencedError(f'{source} does not lead term {term}')
         if not self.engine.is_prefix_of(primary.engine):
             self.engine.copy_from(primary.engine)
@@ -172,24 +173,24 @@
             raise FencedError(f'a {self.role} cannot write')
 
     async def commit(self, changes: tuple[Change, ...]) -> None:
-        """Add a committed transaction to the log."""
+        """Append a committed transaction to the log."""
         await self._append(changes)
 
     async def wait_until_reachable(self, peer: str) -> None:
-        """Return when no fault keeps `peer`'s traffic from arriving."""
+        """Wait until no fault blocks traffic from `peer`."""
         while self.faults.paused or peer in self.faults.cut_from:
             await curio.sleep(_FAULT_POLL_INTERVAL_S)
 
     async def wait_for_log_growth(self) -> None:
-        """Return when the log has grown, or after a short while."""
+        """Wait until the log has grown or a timeout has passed."""
         async with curio.ignore_after(_LOG_GROWTH_TIMEOUT_S):
-            async with self._grown:
-                await self._grown.wait()
+            async with self._log_grown:
+                await self._log_grown.wait()
 
     async def receive_log(self) -> None:
-        """Take over the source's log for as long as the server runs."""
+        """Copy new log entries from the source until cancelled."""
         while True:
-            if not self._may_receive():
+            if not self._can_receive_log():
                 await curio.sleep(_FAULT_POLL_INTERVAL_S)
                 continue
             source = self.peers[self._source or '']
@@ -201,23 +202,23 @@
             now = await curio.clock()
             if due > now:
                 await curio.sleep(due - now)
-            if self._may_receive():
+            if self._can_receive_log():
                 self.engine.append(entry)
-                async with self._grown:
-                    await self._grown.notify_all()
+                async with self._log_grown:
+                    await self._log_grown.notify_all()
 
     async def apply_log(self) -> None:
-        """Make received entries visible once their lag is over."""
+        """Apply received entries after the apply lag, until cancelled."""
         while True:
-            behind = self.engine.applied < self.engine.received
-            if self.role is Role.PRIMARY or self.faults.paused or not behind:
+            is_behind = self.engine.applied < self.engine.received
+            if self.role is Role.PRIMARY or self.faults.paused or not is_behind:
                 await self.wait_for_log_growth()
                 continue
             entry = self.engine.log[self.engine.applied]
             due = entry.committed_at + self.profile.apply_lag
             now = await curio.clock()
             if due > now:
-                # Look again soon: a test may have changed the lag meanwhile.
+                # Short sleeps: a test may change the lag meanwhile.
                 await curio.sleep(min(due - now, _FAULT_POLL_INTERVAL_S))
             else:
                 self.engine.apply_next()
@@ -226,17 +227,17 @@
         now = await curio.clock()
         self.engine.append(LogEntry(self.term, now, changes))
         self.engine.applied = self.engine.received
-        async with self._grown:
-            await self._grown.notify_all()
+        async with self._log_grown:
+            await self._log_grown.notify_all()
 
-    def _reaches(self, other: 'ReplicatedDatabase') -> bool:
-        stalled = self.faults.paused or other.faults.paused
-        cut = other.name in self.faults.cut_from
-        cut = cut or self.name in other.faults.cut_from
-        return other.running and not stalled and not cut
+    def _can_reach(self, other: 'ReplicatedDatabase') -> bool:
+        is_paused = self.faults.paused or other.faults.paused
+        are_partitioned = other.name in self.faults.cut_from
+        are_partitioned = are_partitioned or self.name in other.faults.cut_from
+        return other.running and not is_paused and not are_partitioned
 
-    def _may_receive(self) -> bool:
+    def _can_receive_log(self) -> bool:
         if self._source is None:
             return False
         source = self.peers[self._source]
-        return self._reaches(source) and source.term == self.term
+        return self._can_reach(source) and source.term == self.term
--- a/deckdrum/standins/rows.py
+++ b/deckdrum/standins/rows.py
@@ -1,6 +1,6 @@
 """Conversion between wire values and `sqlite3` values.
 
-TEST STAND-IN.  Results are sent in text format only.
+TEST STAND-IN.  Results are encoded in text format only.
 """
 
 import struct
@@ -19,8 +19,8 @@
 _OIDS: Final[Mapping[type, int]] = MappingProxyType(
     {int: _INT8, float: _FLOAT8, bytes: _BYTEA},
 )
-_Reader = Callable[[str], Scalar]
-_TEXT_READERS: Final[Mapping[int, _Reader]] = MappingProxyType(
+_Decoder = Callable[[str], Scalar]
+_TEXT_DECODERS: Final[Mapping[int, _Decoder]] = MappingProxyType(
     {
         16: lambda text: int(text in {'t', 'true', '1'}),
         20: int,
@@ -31,7 +31,7 @@
         1700: float,
     }
 )
-_BINARY_FORMS: Final = MappingProxyType(
+_BINARY_FORMATS: Final = MappingProxyType(
     {
         16: '!?',
         20: '!q',
@@ -43,30 +43,30 @@
 )
 
 
-def read_argument(raw: bytes | None, oid: int, is_binary: bool) -> Scalar:
-    """Convert a bound argument.
+def decode_argument(raw: bytes | None, oid: int, is_binary: bool) -> Scalar:
+    """Decode a bound argument.
 
     Parameters
     ----------
     raw : bytes or None
-        The value on the wire.
+        Value as received.
     oid : int
-        Type that the caller declared; 0 if none.
+        Type OID that the client declared; 0 if none.
     is_binary : bool
         Whether `raw` is in binary format.
     """
     if raw is None:
         return None
     if is_binary:
-        form = _BINARY_FORMS.get(oid)
-        if form is None:
+        struct_format = _BINARY_FORMATS.get(oid)
+        if struct_format is None:
             return bytes(raw)
-        (number,) = struct.unpack(form, raw)
+        (number,) = struct.unpack(struct_format, raw)
         return int(number) if isinstance(number, bool) else number
-    reader = _TEXT_READERS.get(oid)
+    decoder = _TEXT_DECODERS.get(oid)
     text = bytes(raw).decode()
-    if reader is not None:
-        return reader(text)
+    if decoder is not None:
+        return decoder(text)
     return text
 
 
@@ -74,8 +74,8 @@
     names: Sequence[str],
     sample: Sequence[Scalar] | None,
 ) -> bytes:
-    """Return a RowDescription, with types guessed from a sample row."""
-    shown = sample or [None for _ in names]
+    """Return a RowDescription; types are inferred from a sample row."""
+    sample_row = sample or [None for _ in names]
     fields = [
         codec.FieldDescription(
             name=name,
@@ -83,7 +83,7 @@
             type_size=-1,
             type_modifier=-1,
         )
-        for name, scalar in zip(names, shown, strict=True)
+        for name, scalar in zip(names, sample_row, strict=True)
     ]
     return codec.RowDescription(fields=fields).to_wire()
 
--- a/deckdrum/standins/session.py
+++ b/deckdrum/standins/session.py
@@ -1,4 +1,4 @@
-"""The PostgreSQL protocol of a stand-in database, server side.
+"""Server side of the PostgreSQL protocol for a stand-in database.
 
 TEST STAND-IN.
 """
@@ -15,7 +15,7 @@
 from pygwire import ConnectionPhase
 
 from deckdrum.standins.engine import Scalar, split_statements
-from deckdrum.standins.rows import describe_columns, encode_row, read_argument
+from deckdrum.standins.rows import decode_argument, describe_columns, encode_row
 from deckdrum.standins.transactions import Answer, SqlError, Transaction
 from deckdrum.utils import Stream
 from deckdrum.wire import tags
@@ -34,15 +34,15 @@
     from deckdrum.standins.replication import ReplicatedDatabase
 
 _MAX_MESSAGE_BYTES: Final = 64_000_000
-_ROWS_A_SEND: Final = 200
+_ROWS_PER_SEND: Final = 200
 _TEXT_OID: Final = 25
 _MECHANISM: Final = scramp.ScramMechanism()
-_counter = itertools.count(1)
+_process_ids = itertools.count(1)
 
 
 @dataclass(slots=True)
 class Prepared:
-    """A prepared statement: text and declared argument types."""
+    """A prepared statement with its declared argument types."""
 
     text: str
     oids: list[int]
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Portal:
-    """A bound statement, and its answer once it has run."""
+    """A bound statement, with its answer once executed."""
 
     prepared: Prepared
     arguments: tuple[Scalar, ...]
@@ -59,7 +59,11 @@
 
 @dataclass(slots=True)
 class Session:
-    """One caller of a stand-in database."""
+    """One client session of a stand-in database.
+
+    `source` is the name that the client gave in ``application_name``; faults
+    select clients by it.  `latency` is the one-way network delay in seconds.
+    """
 
     database: 'ReplicatedDatabase'
     stream: Stream
@@ -69,10 +73,10 @@
     transaction: Transaction
     statements: dict[str, Prepared] = field(default_factory=dict)
     portals: dict[str, Portal] = field(default_factory=dict)
-    skipping: bool = False
+    is_skipping_to_sync: bool = False
 
     async def run(self) -> None:
-        """Answer messages until the caller leaves."""
+        """Handle messages until the client disconnects."""
         while True:
             frame = await self.reader.read_frame()
             if frame is None or frame.tag == tags.TERMINATE:
@@ -80,10 +84,10 @@
             await self.database.wait_until_reachable(self.source)
             if frame.tag in {tags.QUERY, tags.SYNC}:
                 await curio.sleep(self.latency * 2)
-            await self._answer(frame)
+            await self._handle_frame(frame)
 
     async def query(self, message: Any) -> None:
-        """Run a simple query."""
+        """Execute a simple query."""
         texts = split_statements(message.query_string)
         if not texts:
             await self.send(codec.EmptyQueryResponse().to_wire())
@@ -110,10 +114,10 @@
         prepared = self._find_statement(message.statement)
         formats = message.param_formats or [0]
         arguments = []
-        for place, raw in enumerate(message.param_values):
-            oid = prepared.oids[place] if place < len(prepared.oids) else 0
-            form = formats[place if len(formats) > 1 else 0]
-            arguments.append(read_argument(raw, oid, form == 1))
+        for index, raw in enumerate(message.param_values):
+            oid = prepared.oids[index] if index < len(prepared.oids) else 0
+            format_code = formats[index if len(formats) > 1 else 0]
+            arguments.append(decode_argument(raw, oid, format_code == 1))
         self.portals[message.portal] = Portal(prepared, tuple(arguments))
         await self.send(codec.BindComplete().to_wire())
 
@@ -127,7 +131,7 @@
         await self.send(_describe(answer))
 
     async def execute(self, message: Any) -> None:
-        """Run a portal and send its rows."""
+        """Execute a portal and send its rows."""
         portal = self.portals[message.portal]
         if not portal.prepared.text.strip():
             await self.send(codec.EmptyQueryResponse().to_wire())
@@ -136,38 +140,38 @@
         await self._send_rows(answer, with_columns=False)
 
     async def close(self, message: Any) -> None:
-        """Forget a statement or a portal."""
-        known: dict[str, Any] = self.portals
+        """Close a statement or a portal."""
+        entries: dict[str, Any] = self.portals
         if message.kind == 'S':
-            known = self.statements
-        known.pop(message.name, None)
+            entries = self.statements
+        entries.pop(message.name, None)
         await self.send(codec.CloseComplete().to_wire())
 
     async def flush(self, message: Any) -> None:
-        """Do nothing: answers are sent at once."""
+        """Do nothing: answers are never buffered."""
 
     async def send(self, payload: bytes) -> None:
-        """Send an answer unless a fault holds it back."""
+        """Send an answer once no fault blocks the client."""
         await self.database.wait_until_reachable(self.source)
         await self.stream.send(payload)
 
-    async def _answer(self, frame: Frame) -> None:
+    async def _handle_frame(self, frame: Frame) -> None:
         if frame.tag == tags.SYNC:
             await self._sync()
             return
-        if self.skipping:
+        if self.is_skipping_to_sync:
             return
         try:
-            await _STEPS[frame.tag](self, decode_frontend(frame))
+            await _MESSAGE_HANDLERS[frame.tag](self, decode_frontend(frame))
         except SqlError as error:
             await self.transaction.fail()
             await self.send(encode_error(error.sqlstate, str(error)))
-            self.skipping = frame.tag != tags.QUERY
+            self.is_skipping_to_sync = frame.tag != tags.QUERY
             if frame.tag == tags.QUERY:
                 await self.send(encode_ready(self.transaction.status))
 
     async def _sync(self) -> None:
-        self.skipping = False
+        self.is_skipping_to_sync = False
         try:
             await self.transaction.end_implicit()
         except SqlError as error:
@@ -202,9 +206,9 @@
         if not text.upper().startswith(('SELECT', 'WITH', 'VALUES')):
             await self.send(codec.NoData().to_wire())
             return
-        limited = f'SELECT * FROM ({text}) LIMIT 1'
-        nothing = (None,) * count
-        answer = await self.transaction.execute(limited, nothing)
+        first_row_query = f'SELECT * FROM ({text}) LIMIT 1'
+        null_arguments = (None,) * count
+        answer = await self.transaction.execute(first_row_query, null_arguments)
         await self.send(_describe(answer))
 
     async def _send_rows(self, answer: Answer, with_columns: bool) -> None:
@@ -218,15 +222,15 @@
             rows = (
                 []
                 if answer.cursor is None
-                else answer.cursor.fetchmany(_ROWS_A_SEND)
+                else answer.cursor.fetchmany(_ROWS_PER_SEND)
             )
-        command = answer.command
-        if command == 'SELECT':
-            command = f'SELECT {count}'
-        await self.send(encode_command_complete(command))
+        command_tag = answer.command_tag
+        if command_tag == 'SELECT':
+            command_tag = f'SELECT {count}'
+        await self.send(encode_command_complete(command_tag))
 
 
-_STEPS: Final = MappingProxyType(
+_MESSAGE_HANDLERS: Final = MappingProxyType(
     {
         tags.QUERY: Session.query,
         tags.PARSE: Session.parse,
@@ -242,11 +246,11 @@
 def _describe(answer: Answer) -> bytes:
     if not answer.columns:
         return codec.NoData().to_wire()
-    return describe_columns(answer.columns, answer.first)
+    return describe_columns(answer.columns, answer.first_row)
 
 
 async def serve_session(database: 'ReplicatedDatabase', stream: Stream) -> None:
-    """Serve one connection from its start-up to its end."""
+    """Serve one connection from its startup message on."""
     reader = FrameReader(stream, _MAX_MESSAGE_BYTES)
     body = await reader.read_startup()
     if body is None:
@@ -255,60 +259,60 @@
     if isinstance(startup, codec.CancelRequest):
         await _cancel(database, startup)
     elif isinstance(startup, codec.StartupMessage):
-        await _admit(database, stream, reader, startup)
+        await _open_session(database, stream, reader, startup)
     else:
         await stream.send(b'N')
         await serve_session(database, stream)
 
 
-async def _admit(
+async def _open_session(
     database: 'ReplicatedDatabase',
     stream: Stream,
     reader: FrameReader,
     startup: Any,
 ) -> None:
-    title = startup.params.get('application_name', '')
-    source, _, place = title.partition('@')
+    application_name = startup.params.get('application_name', '')
+    source, _, location = application_name.partition('@')
     await database.wait_until_reachable(source)
     profile = database.profile
     if len(database.sessions) >= profile.max_connections:
         text = 'sorry, too many clients already'
         await stream.send(encode_error('53300', text, severity='FATAL'))
         return
-    is_near = place in {'', profile.data_centre}
+    is_local = location in {'', profile.data_centre}
     session = Session(
         database,
         stream,
         reader,
         source,
-        profile.local_latency if is_near else profile.hop_latency,
+        profile.local_latency if is_local else profile.hop_latency,
         Transaction(database),
     )
-    number = next(_counter)
-    database.sessions[number] = session
+    process_id = next(_process_ids)
+    database.sessions[process_id] = session
     try:
-        await _run_session(session, number)
+        await _run_session(session, process_id)
     finally:
-        database.sessions.pop(number, None)
+        database.sessions.pop(process_id, None)
         await session.transaction.close()
 
 
-async def _run_session(session: Session, number: int) -> None:
+async def _run_session(session: Session, process_id: int) -> None:
     setup_time = session.database.profile.connect_time + session.latency * 2
     await curio.sleep(setup_time)
     try:
-        is_known = await _authenticate(session)
+        is_authenticated = await _authenticate(session)
     except scramp.ScramException:
-        is_known = False
-    if not is_known:
+        is_authenticated = False
+    if not is_authenticated:
         text = 'password authentication failed'
         await session.send(encode_error('28P01', text, severity='FATAL'))
         return
-    await session.send(_build_greeting(number))
+    await session.send(_build_greeting(process_id))
     await session.run()
 
 
-def _build_greeting(number: int) -> bytes:
+def _build_greeting(process_id: int) -> bytes:
     parts = [
         codec.AuthenticationOk().to_wire(),
         encode_parameter_status('server_version', '16.0'),
@@ -318,7 +322,7 @@
         encode_parameter_status('standard_conforming_strings', 'on'),
         encode_parameter_status('integer_datetimes', 'on'),
         encode_parameter_status('TimeZone', 'UTC'),
-        codec.BackendKeyData(number, secrets.token_bytes(4)).to_wire(),
+        codec.BackendKeyData(process_id, secrets.token_bytes(4)).to_wire(),
         encode_ready('I'),
     ]
     return b''.join(parts)
@@ -331,13 +335,15 @@
 
 
 @lru_cache
-def _make_record(password: str) -> Any:
+def _make_auth_info(password: str) -> Any:
     return _MECHANISM.make_auth_info(password)
 
 
 async def _authenticate(session: Session) -> bool:
     profile = session.database.profile
-    server = _MECHANISM.make_server(lambda user: _make_record(profile.password))
+    server = _MECHANISM.make_server(
+        lambda user: _make_auth_info(profile.password)
+    )
     offer = codec.AuthenticationSASL(mechanisms=[_MECHANISM.name])
     await session.send(offer.to_wire())
     server.set_client_first(
--- a/deckdrum/standins/transactions.py
+++ b/deckdrum/standins/transactions.py
@@ -18,15 +18,15 @@
 if TYPE_CHECKING:
     from deckdrum.standins.replication import ReplicatedDatabase
 
-_SLEEP: Final = re.compile(
+_SLEEP_STATEMENT: Final = re.compile(
     r'\A\s*SELECT\s+pg_sleep\(\s*([\d.]+)\s*\)\s*;?\s*\Z',
     re.IGNORECASE,
 )
-_CONTRACT: Final = re.compile(
+_CONTROL_FUNCTION: Final = re.compile(
     r'deckdrum_(state|fence|promote|follow)(?:\(([^)]*)\))?',
 )
-_FIRST_WORD: Final = re.compile(r'\A(?:\s|/\*.*?\*/)*(\w+)', re.DOTALL)
-_WRITING: Final = frozenset(
+_FIRST_KEYWORD: Final = re.compile(r'\A(?:\s|/\*.*?\*/)*(\w+)', re.DOTALL)
+_WRITE_COMMANDS: Final = frozenset(
     (
         'INSERT',
         'UPDATE',
@@ -37,7 +37,7 @@
         'ALTER',
     )
 )
-_FAILED: Final = 'current transaction is aborted'
+_ABORTED_MESSAGE: Final = 'current transaction is aborted'
 _STATE_COLUMNS: Final = (
     'role',
     'term',
@@ -49,7 +49,7 @@
 
 
 class SqlError(Exception):
-    """A statement failed; carries the SQLSTATE."""
+    """A statement failed with an SQLSTATE."""
 
     def __init__(self, sqlstate: str, text: str) -> None:
         super().__init__(text)
@@ -58,40 +58,43 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a statement gave: its tag, column names and a row source."""
+    """Result of a statement: command tag, columns and rows.
 
-    command: str
+    `rows` holds rows that were fetched already; `cursor` yields the others.
+    """
+
+    command_tag: str
     columns: tuple[str, ...] = ()
-    first: Sequence[Scalar] | None = None
+    first_row: Sequence[Scalar] | None = None
     cursor: sqlite3.Cursor | None = None
     rows: list[tuple[Scalar, ...]] = field(default_factory=list)
 
 
 class Transaction:
-    """The transaction state of one session.
+    """Transaction state of one session.
 
     Parameters
     ----------
     database : ReplicatedDatabase
-        Where the session runs.
+        Database of the session.
     """
 
     def __init__(self, database: 'ReplicatedDatabase') -> None:
         self._database = database
-        self._link = database.engine.connect()
+        self._connection = database.engine.connect()
         self._changes: list[Change] = []
-        self._open = False
-        self._failed = False
+        self._is_open = False
+        self._has_failed = False
         self._holds_lock = False
-        self.explicit = False
+        self.is_explicit = False
         self.cancelled = curio.Event()
 
     @property
     def status(self) -> str:
-        """Status as in ReadyForQuery: ``I``, ``T`` or ``E``."""
-        if self._failed:
+        """Transaction status for ReadyForQuery: ``I``, ``T`` or ``E``."""
+        if self._has_failed:
             return 'E'
-        return 'T' if self.explicit else 'I'
+        return 'T' if self.is_explicit else 'I'
 
     async def execute(
         self,
@@ -103,33 +106,33 @@
         Raises
         ------
         SqlError
-            If it failed.
+            If the statement failed or was cancelled.
         """
-        await self._pass_time(text)
-        match = _FIRST_WORD.match(text)
-        word = match.group(1).upper() if match else ''
-        control = _CONTROLS.get(word)
-        if control is not None:
-            return await control(self)
-        if self._failed:
-            raise SqlError('25P02', _FAILED)
-        called = _CONTRACT.search(text)
-        if called is not None:
-            return await self._call_contract(called)
-        return await self._run(Change(text, arguments), word)
+        await self._simulate_execution_time(text)
+        match = _FIRST_KEYWORD.match(text)
+        keyword = match.group(1).upper() if match else ''
+        command_method = _TRANSACTION_COMMANDS.get(keyword)
+        if command_method is not None:
+            return await command_method(self)
+        if self._has_failed:
+            raise SqlError('25P02', _ABORTED_MESSAGE)
+        call = _CONTROL_FUNCTION.search(text)
+        if call is not None:
+            return await self._call_control_function(call)
+        return await self._run(Change(text, arguments), keyword)
 
     async def change_setting(self) -> Answer:
-        """Accept a SET or RESET; settings have no effect here."""
+        """Accept SET or RESET, which have no effect."""
         return Answer('SET')
 
     async def show_setting(self) -> Answer:
-        """Answer a SHOW."""
+        """Answer SHOW with a fixed value."""
         row = ('on',)
         return Answer('SHOW', ('setting',), row, rows=[row])
 
     async def begin(self) -> Answer:
         """Open an explicit transaction."""
-        self.explicit = True
+        self.is_explicit = True
         self._ensure_open()
         return Answer('BEGIN')
 
@@ -139,9 +142,9 @@
         Raises
         ------
         SqlError
-            If the database may no longer write.
+            If the database is fenced or no longer the primary.
         """
-        if self._failed:
+        if self._has_failed:
             return await self.roll_back()
         try:
             await self._commit()
@@ -151,32 +154,32 @@
         return Answer('COMMIT')
 
     async def roll_back(self) -> Answer:
-        """Undo what the transaction did."""
-        if self._open:
-            self._link.execute('ROLLBACK')
+        """Roll the transaction back."""
+        if self._is_open:
+            self._connection.execute('ROLLBACK')
         await self._reset()
         return Answer('ROLLBACK')
 
     async def end_implicit(self) -> None:
-        """Commit an implicit transaction, as Sync does."""
-        if not self.explicit and self._open:
+        """Commit an implicit transaction, as at Sync."""
+        if not self.is_explicit and self._is_open:
             await self.finish()
 
     async def fail(self) -> None:
-        """Note that a statement failed."""
-        if self.explicit:
-            self._failed = True
+        """Abort the transaction after a failed statement."""
+        if self.is_explicit:
+            self._has_failed = True
         else:
             await self.roll_back()
 
     async def close(self) -> None:
-        """Roll back and close the session's connection."""
+        """Roll back and close the SQLite connection."""
         await self.roll_back()
-        self._link.close()
+        self._connection.close()
 
-    async def _pass_time(self, text: str) -> None:
+    async def _simulate_execution_time(self, text: str) -> None:
         seconds = self._database.profile.statement_time
-        match = _SLEEP.match(text)
+        match = _SLEEP_STATEMENT.match(text)
         if match is not None:
             seconds += float(match.group(1))
         if not seconds:
@@ -187,21 +190,21 @@
             raise SqlError('57014', 'canceling statement due to user request')
 
     def _ensure_open(self) -> None:
-        if not self._open:
-            self._link.execute('BEGIN')
-            self._open = True
+        if not self._is_open:
+            self._connection.execute('BEGIN')
+            self._is_open = True
 
-    async def _run(self, change: Change, word: str) -> Answer:
-        is_write = word in _WRITING
-        if _SLEEP.match(change.text):
+    async def _run(self, change: Change, keyword: str) -> Answer:
+        is_write = keyword in _WRITE_COMMANDS
+        if _SLEEP_STATEMENT.match(change.text):
             change = Change('SELECT 1 AS pg_sleep')
         if is_write:
             await self._prepare_write()
-        if is_write or self.explicit:
+        if is_write or self.is_explicit:
             self._ensure_open()
         try:
-            cursor = run(self._link, change)
-            answer = _read_answer(cursor, word)
+            cursor = run(self._connection, change)
+            answer = _build_answer(cursor, keyword)
         except sqlite3.IntegrityError as error:
             raise SqlError('23505', str(error)) from error
         except sqlite3.Error as error:
@@ -222,28 +225,28 @@
     async def _commit(self) -> None:
         if self._changes:
             self._database.check_writable()
-        if self._open:
-            self._link.execute('COMMIT')
-            self._open = False
+        if self._is_open:
+            self._connection.execute('COMMIT')
+            self._is_open = False
         if self._changes:
             await self._database.commit(tuple(self._changes))
         await self._reset()
 
     async def _reset(self) -> None:
         self._changes = []
-        self._open = False
-        self._failed = False
-        self.explicit = False
+        self._is_open = False
+        self._has_failed = False
+        self.is_explicit = False
         if self._holds_lock:
             self._holds_lock = False
             await self._database.write_lock.release()
 
-    async def _call_contract(self, called: re.Match[str]) -> Answer:
-        raw = (called.group(2) or '').split(',')
+    async def _call_control_function(self, call: re.Match[str]) -> Answer:
+        raw = (call.group(2) or '').split(',')
         arguments = [part.strip().strip("'") for part in raw if part.strip()]
         database = self._database
         try:
-            match called.group(1):
+            match call.group(1):
                 case 'fence':
                     database.fence(int(arguments[0]))
                 case 'promote':
@@ -263,7 +266,7 @@
         return Answer('SELECT 1', _STATE_COLUMNS, row, rows=[row])
 
 
-_CONTROLS: Final = MappingProxyType(
+_TRANSACTION_COMMANDS: Final = MappingProxyType(
     {
         'BEGIN': Transaction.begin,
         'START': Transaction.begin,
@@ -278,20 +281,20 @@
 )
 
 
-def _read_answer(cursor: sqlite3.Cursor, word: str) -> Answer:
+def _build_answer(cursor: sqlite3.Cursor, keyword: str) -> Answer:
     count = max(cursor.rowcount, 0)
     if cursor.description is None:
-        return Answer(_name_command(word, count))
+        return Answer(_format_command_tag(keyword, count))
     columns = tuple(column[0] for column in cursor.description)
-    if word in _WRITING:
+    if keyword in _WRITE_COMMANDS:
         rows = cursor.fetchall()
-        first = rows[0] if rows else None
-        command = _name_command(word, len(rows))
-        return Answer(command, columns, first, rows=rows)
-    first = cursor.fetchone()
-    rows = [] if first is None else [first]
-    return Answer('SELECT', columns, first, cursor, rows)
+        first_row = rows[0] if rows else None
+        command_tag = _format_command_tag(keyword, len(rows))
+        return Answer(command_tag, columns, first_row, rows=rows)
+    first_row = cursor.fetchone()
+    rows = [] if first_row is None else [first_row]
+    return Answer('SELECT', columns, first_row, cursor, rows)
 
 
-def _name_command(word: str, count: int) -> str:
-    return f'INSERT 0 {count}' if word == 'INSERT' else f'{word} {count}'
+def _format_command_tag(keyword: str, count: int) -> str:
+    return f'INSERT 0 {count}' if keyword == 'INSERT' else f'{keyword} {count}'
--- a/deckdrum/standins/users/__init__.py
+++ b/deckdrum/standins/users/__init__.py
@@ -1,6 +1,7 @@
-"""Test stand-ins of the users' platform: its store, databases and calls.
+"""Stand-ins for the platform of the users: store, databases, promotion API.
 
-They speak what the users' pages say and nothing of the product.
+They implement the protocols of that platform independently of the product's
+own code for them.
 """
 
 from deckdrum.standins.users.databases import DatabaseGroup
--- a/deckdrum/standins/users/connections.py
+++ b/deckdrum/standins/users/connections.py
@@ -1,4 +1,4 @@
-"""What a database keeps about one of its connections."""
+"""Connection state of a stand-in database."""
 
 from dataclasses import dataclass, field
 
@@ -10,29 +10,31 @@
     """State of one connection to a database."""
 
     stream: Stream
-    #: For whom it was opened.
+    #: Workspace for which the connection was opened.
     who: str = ''
     values: dict[str, str] = field(default_factory=dict)
     prepared: dict[str, tuple[str, str]] = field(default_factory=dict)
     transaction: str = ''
     begun_term: int = 0
     writes: list[tuple[str, str]] = field(default_factory=list)
-    has_failed: bool = False
+    is_aborted: bool = False
 
     @property
     def state(self) -> str:
-        """State letter of the answer's end."""
+        """Transaction status letter of a READY line."""
         if not self.transaction:
             return 'I'
-        return 'E' if self.has_failed else 'T'
+        return 'E' if self.is_aborted else 'T'
 
 
-def remember(connection: Connection, word: str, rest: str) -> str:
-    """Keep or drop a value or prepared statement; return the answer."""
-    name, _, value = rest.partition(' ')
-    if word == 'SET':
+def execute_session_statement(
+    connection: Connection, command: str, arguments: str
+) -> str:
+    """Execute SET, PREPARE or DEALLOCATE; return the answer."""
+    name, _, value = arguments.partition(' ')
+    if command == 'SET':
         connection.values[name] = value
-    elif word == 'PREPARE':
+    elif command == 'PREPARE':
         effect, _, shape = value.partition(' ')
         connection.prepared[name] = (effect, shape)
     else:
--- a/deckdrum/standins/users/lines.py
+++ b/deckdrum/standins/users/lines.py
@@ -1,4 +1,4 @@
-"""Lines of the users' protocol, as its clients and databases read them."""
+"""Line framing of the users' protocol."""
 
 from typing import Final
 
@@ -8,9 +8,9 @@
 
 
 async def read_line(stream: Stream, buffer: bytearray) -> str | None:
-    """Return the next line without its end; None at the connection's end.
+    """Return the next line without its terminator; None at end of stream.
 
-    `buffer` keeps what has arrived beyond that line.
+    `buffer` keeps bytes received after that line.
     """
     while _END not in buffer:
         chunk = await stream.receive()
--- a/deckdrum/standins/users/records.py
+++ b/deckdrum/standins/users/records.py
@@ -1,11 +1,11 @@
-"""What the databases commit, and what a test can look up afterwards."""
+"""Log entries, and executed statements for the checks of tests."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A committed change: its term and number, and who wrote what."""
+    """A committed change; `writes` holds request ids and what they wrote."""
 
     term: int
     number: int
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutedStatement:
-    """A statement that a database has run, with the log it ran on."""
+    """A statement that a database executed, and its log offset then."""
 
     server: str
     request_id: str
     text: str
     log_end: int
     values: tuple[tuple[str, str], ...] = ()
-    #: For whom its connection was opened.
+    #: Workspace for which its connection was opened.
     who: str = ''
--- a/deckdrum/standins/users/servers.py
+++ b/deckdrum/standins/users/servers.py
@@ -1,4 +1,4 @@
-"""A stand-in of one database of the users."""
+"""A stand-in for one database server of the users."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -7,7 +7,10 @@
 
 import curio
 
-from deckdrum.standins.users.connections import Connection, remember
+from deckdrum.standins.users.connections import (
+    Connection,
+    execute_session_statement,
+)
 from deckdrum.standins.users.lines import read_line
 from deckdrum.standins.users.records import Entry, ExecutedStatement
 from deckdrum.standins.users.store import HANG_DURATION_S, StandinStore
@@ -15,34 +18,36 @@
 
 PRIMARY: Final = 'primary'
 REPLICA: Final = 'replica'
-#: When a database first started, and how much later it starts again, in ms.
+#: Start time of a new database, and by how much a restart advances it.
 FIRST_START_UNIX_MS: Final = 1_764_730_000_000
 RESTART_DELAY_MS: Final = 60_000
-#: Statements that take the database's time, so that a fault can hit them.
-_WORK_WORDS: Final = frozenset(('READ', 'WRITE', 'EXECUTE', 'COMMIT', 'AFTER'))
-#: Statements that ask for or change the state of the database itself.
-_CONTROL_WORDS: Final = frozenset(
+#: Commands with an execution time; rejections and lost answers apply to them.
+_TIMED_COMMANDS: Final = frozenset(
+    ('READ', 'WRITE', 'EXECUTE', 'COMMIT', 'AFTER')
+)
+#: Commands that query or change the state of server or connection.
+_CONTROL_COMMANDS: Final = frozenset(
     ('STATUS', 'PAUSE', 'RESUME', 'DEMOTE', 'RESET'),
 )
-_TRANSACTION_WORDS: Final = frozenset(('BEGIN', 'ROLLBACK', 'COMMIT'))
-_SESSION_WORDS: Final = frozenset(('SET', 'PREPARE', 'DEALLOCATE'))
+_TRANSACTION_COMMANDS: Final = frozenset(('BEGIN', 'ROLLBACK', 'COMMIT'))
+_SESSION_COMMANDS: Final = frozenset(('SET', 'PREPARE', 'DEALLOCATE'))
 
 
 class ServerGroup(ABC):
-    """What a database needs of its group.
+    """Interface of a server to its group.
 
     Attributes
     ----------
     service : str
-        Name of the group.
+        Name of the service.
     store : StandinStore
-        Holds the directory.
+        Store that holds the server directory.
     work : float
-        Time of one statement, in seconds.
+        Execution time of a statement, in seconds.
     max_connections : int
-        Connections that each database accepts.
-    ran : list of Ran
-        Every statement that was run, in order.
+        Connection limit of each database.
+    ran : list of ExecutedStatement
+        Executed statements of all databases, in order.
     """
 
     service: str
@@ -57,25 +62,25 @@
         primary: 'DatabaseServer',
         writes: tuple[tuple[str, str], ...],
     ) -> None:
-        """Append a change and send it to the replicas."""
+        """Append a change to the log of the primary and replicate it."""
 
     @abstractmethod
     async def catch_up(self, server: 'DatabaseServer') -> None:
-        """Give a replica the log that it lacks."""
+        """Replicate the log of the running primary to a replica."""
 
 
 @dataclass(slots=True)
-class Load:
-    """How busy a database is.
+class ServerLoad:
+    """Overload conditions of a database, set by tests.
 
     Attributes
     ----------
     is_full : bool
-        Whether it refuses every statement for want of room.
+        Whether every statement is rejected as BUSY.
     status_delay : float
-        How long a question about itself waits, in seconds.
+        Delay of the answer to STATUS, in seconds.
     refused_connections : int
-        Connections that it refused for want of room.
+        Number of connections rejected at the connection limit.
     """
 
     is_full: bool = False
@@ -84,16 +89,16 @@
 
 
 class DatabaseServer:
-    """One database.
+    """One database server.
 
     Parameters
     ----------
     group : ServerGroup
-        Its service.
+        Group of the server.
     name : str
-        Its id.
+        Server id.
     zone : str
-        Where it runs.
+        Data centre.
     role : str
         ``primary`` or ``replica``.
     """
@@ -112,21 +117,21 @@
         self.term = 1
         self.log: list[Entry] = []
         self.held_term = 0
-        #: Whether it answers nothing, as without power.
+        #: Whether nothing is answered, as after a loss of power.
         self.is_dark = False
-        #: Whether it receives nothing from the primary.
+        #: Whether replication from the primary is blocked.
         self.is_replication_blocked = False
-        self.load = Load()
-        #: Answers to lose: what runs next is not answered.
+        self.load = ServerLoad()
+        #: Number of upcoming statements that are executed but not answered.
         self.lost_answers = 0
-        #: Rejections to give before anything else is run.
+        #: Error codes for upcoming statements, which are not executed.
         self.rejections: list[str] = []
         self.state = 'ready'
-        #: Where others are told to connect, if not straight to it.
+        #: Address for the directory, if not the listening address.
         self.advertised_address: Address | None = None
-        #: Whether it keeps its entry in the directory.
+        #: Whether `publish` writes the directory entry.
         self.is_listed = True
-        #: When it started, in Unix milliseconds.
+        #: Start time in Unix milliseconds.
         self._started_at_ms = FIRST_START_UNIX_MS
         self._connections: set[Stream] = set()
         self._listener: Listener | None = None
@@ -134,21 +139,21 @@
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address on which the server listens."""
         return self._address
 
     @property
     def connections(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return len(self._connections)
 
     @property
     def is_running(self) -> bool:
-        """Whether the process runs."""
+        """Whether the server accepts connections."""
         return self._listener is not None
 
     async def start(self) -> None:
-        """Listen and enter the directory."""
+        """Start listening and publish the directory entry."""
         self._listener = Listener(self._address, self._serve)
         await self._listener.start()
         self._address = self._listener.address
@@ -156,16 +161,16 @@
         await self.publish()
 
     async def crash(self) -> None:
-        """End the process: its port refuses."""
+        """Stop at once: connections are closed, new ones refused."""
         if self._listener is not None:
             listener = self._listener
             self._listener = None
             await listener.close()
 
     async def restart_empty(self, role: str = REPLICA) -> None:
-        """Start again under the same id and address, knowing nothing.
+        """Restart with an empty log under the same id and address.
 
-        It says that it has a `role`, in the first term.
+        The server reports `role` in the first term.
         """
         await self.crash()
         self._started_at_ms += RESTART_DELAY_MS
@@ -175,7 +180,7 @@
         await self.start()
 
     async def publish(self) -> None:
-        """Write the entry in the directory."""
+        """Write the directory entry, if listed."""
         if not self.is_listed:
             return
         await self.group.store.write(
@@ -196,7 +201,7 @@
         )
 
     async def drain(self) -> None:
-        """Announce a planned end."""
+        """Announce a planned shutdown in the directory."""
         self.state = 'draining'
         await self.publish()
 
@@ -206,14 +211,14 @@
         return f'{self.term}.{len(self.log)}'
 
     async def lead(self, term: int) -> None:
-        """Become primary."""
+        """Become the primary of `term`."""
         self.role = PRIMARY
         self.term = term
         self.held_term = 0
         await self.publish()
 
     async def follow(self, term: int, log: Iterable[Entry]) -> None:
-        """Become or stay a replica of a term with a log."""
+        """Become a replica in `term` with the given log."""
         self.role = REPLICA
         self.term = term
         self.log = list(log)
@@ -222,25 +227,25 @@
     async def _serve(self, stream: Stream) -> None:
         buffer = bytearray()
         line = await read_line(stream, buffer)
-        if line is None or not await self._open(stream, line):
+        if line is None or not await self._accept_connection(stream, line):
             return
         connection = Connection(stream, line.split(' ')[2])
         try:
             while line := await read_line(stream, buffer):
-                await self._stay_dark()
-                await self._answer(connection, line)
+                await self._hang_if_unresponsive()
+                await self._handle_line(connection, line)
         finally:
             self._connections.discard(stream)
 
-    async def _stay_dark(self) -> None:
+    async def _hang_if_unresponsive(self) -> None:
         if self.is_dark:
             await curio.sleep(HANG_DURATION_S)
 
-    async def _open(self, stream: Stream, line: str) -> bool:
-        await self._stay_dark()
+    async def _accept_connection(self, stream: Stream, line: str) -> bool:
+        await self._hang_if_unresponsive()
         fields = line.split(' ')
-        wanted = fields[3] if len(fields) > 3 else self.name
-        if fields[1] != self.group.service or wanted != self.name:
+        requested_server = fields[3] if len(fields) > 3 else self.name
+        if fields[1] != self.group.service or requested_server != self.name:
             await stream.send(f'ERROR MISROUTED {self.name}\r\n'.encode())
             return False
         if len(self._connections) >= self.group.max_connections:
@@ -251,64 +256,68 @@
         await stream.send(f'READY I {self.log_end}\r\n'.encode())
         return True
 
-    async def _answer(self, connection: Connection, line: str) -> None:
+    async def _handle_line(self, connection: Connection, line: str) -> None:
         _, request_id, text = line.split(' ', 2)
-        word = text.split(' ', 1)[0]
-        is_work = word in _WORK_WORDS
-        if is_work:
+        command = text.split(' ', 1)[0]
+        is_timed = command in _TIMED_COMMANDS
+        if is_timed:
             await curio.sleep(self.group.work)
-        if word == 'STATUS':
+        if command == 'STATUS':
             await curio.sleep(self.load.status_delay)
         if self.load.is_full:
             answer = self._reject(connection, 'BUSY')
-        elif is_work and self.rejections:
+        elif is_timed and self.rejections:
             answer = self._reject(connection, self.rejections.pop(0))
         else:
-            answer = await self._run(connection, request_id, text)
-        if is_work and self.lost_answers:
+            answer = await self._dispatch(connection, request_id, text)
+        if is_timed and self.lost_answers:
             self.lost_answers -= 1
             await curio.sleep(HANG_DURATION_S)
         ready = f'READY {connection.state} {self.log_end}\r\n'
         await connection.stream.send((answer + ready).encode())
 
-    async def _run(
+    async def _dispatch(
         self,
         connection: Connection,
         request_id: str,
         text: str,
     ) -> str:
-        word, _, rest = text.partition(' ')
-        if word == 'AFTER':
-            floor, _, text = rest.partition(' ')
-            if not self._has(floor):
+        command, _, arguments = text.partition(' ')
+        if command == 'AFTER':
+            min_position, _, text = arguments.partition(' ')
+            if not self._includes_position(min_position):
                 return self._reject(connection, 'LAGGING')
-            return await self._run(connection, request_id, text)
-        if word in _CONTROL_WORDS:
-            return await self._control(connection, word, rest)
-        if word in _TRANSACTION_WORDS:
-            return await self._transact(connection, request_id, word, rest)
-        if word in _SESSION_WORDS:
-            return remember(connection, word, rest)
-        return await self._work(connection, request_id, text)
-
-    async def _control(
+            return await self._dispatch(connection, request_id, text)
+        if command in _CONTROL_COMMANDS:
+            return await self._handle_control_command(
+                connection, command, arguments
+            )
+        if command in _TRANSACTION_COMMANDS:
+            return await self._handle_transaction_command(
+                connection, request_id, command, arguments
+            )
+        if command in _SESSION_COMMANDS:
+            return execute_session_statement(connection, command, arguments)
+        return await self._execute_statement(connection, request_id, text)
+
+    async def _handle_control_command(
         self,
         connection: Connection,
-        word: str,
-        rest: str,
+        command: str,
+        arguments: str,
     ) -> str:
-        if word == 'RESET':
+        if command == 'RESET':
             connection.values.clear()
             connection.prepared.clear()
             return 'COMPLETE -\r\n'
-        if word == 'PAUSE' and self.role == REPLICA:
-            # Without effect for a term that it follows already.
-            is_newer = int(rest) > self.term
-            self.held_term = int(rest) if is_newer else self.held_term
-        elif word == 'RESUME':
+        if command == 'PAUSE' and self.role == REPLICA:
+            # Ignored for a term that the replica already follows.
+            is_newer_term = int(arguments) > self.term
+            self.held_term = int(arguments) if is_newer_term else self.held_term
+        elif command == 'RESUME':
             self.held_term = 0
             await self.group.catch_up(self)
-        elif word == 'DEMOTE' and int(rest) > self.term:
+        elif command == 'DEMOTE' and int(arguments) > self.term:
             self.role = REPLICA
             await self.publish()
         count = len(self._connections)
@@ -318,61 +327,61 @@
         )
         return f'ROW {row}\r\nCOMPLETE -\r\n'
 
-    async def _transact(
+    async def _handle_transaction_command(
         self,
         connection: Connection,
         request_id: str,
-        word: str,
-        rest: str,
+        command: str,
+        arguments: str,
     ) -> str:
-        if word == 'BEGIN':
-            if rest != 'READ' and self.role != PRIMARY:
+        if command == 'BEGIN':
+            if arguments != 'READ' and self.role != PRIMARY:
                 return self._reject(connection, 'READONLY')
-            connection.transaction = rest or 'WRITE'
+            connection.transaction = arguments or 'WRITE'
             connection.begun_term = self.term
-            connection.has_failed = False
+            connection.is_aborted = False
             connection.writes = []
             return 'COMPLETE -\r\n'
         writes = connection.writes
-        has_failed = connection.has_failed
+        is_aborted = connection.is_aborted
         connection.transaction = ''
         connection.writes = []
-        if word == 'ROLLBACK' or has_failed:
+        if command == 'ROLLBACK' or is_aborted:
             return 'COMPLETE -\r\n'
         if writes and self.role != PRIMARY:
             return self._reject(connection, 'READONLY')
         if writes:
             await self.group.commit(self, tuple(writes))
-        return self._complete(connection, request_id, word)
+        return self._record_execution(connection, request_id, command)
 
-    async def _work(
+    async def _execute_statement(
         self,
         connection: Connection,
         request_id: str,
         text: str,
     ) -> str:
-        word, _, rest = text.partition(' ')
-        if word == 'EXECUTE':
-            name, _, arguments = rest.partition(' ')
+        command, _, arguments = text.partition(' ')
+        if command == 'EXECUTE':
+            name, _, statement_arguments = arguments.partition(' ')
             if name not in connection.prepared:
                 return self._reject(connection, 'NOSTMT')
-            word = connection.prepared[name][0]
-            rest = arguments
-        if word == 'WRITE':
+            command = connection.prepared[name][0]
+            arguments = statement_arguments
+        if command == 'WRITE':
             if self.role != PRIMARY:
                 return self._reject(connection, 'READONLY')
-            connection.writes.append((request_id, rest))
+            connection.writes.append((request_id, arguments))
             if not connection.transaction:
                 writes = tuple(connection.writes)
                 connection.writes = []
                 await self.group.commit(self, writes)
-            return self._complete(connection, request_id, text)
+            return self._record_execution(connection, request_id, text)
         if connection.transaction == 'WRITE' and self.role != PRIMARY:
             return self._reject(connection, 'READONLY')
-        answer = self._complete(connection, request_id, text)
-        return f'ROW {rest}-{len(self.log)}\r\n{answer}'
+        answer = self._record_execution(connection, request_id, text)
+        return f'ROW {arguments}-{len(self.log)}\r\n{answer}'
 
-    def _complete(
+    def _record_execution(
         self,
         connection: Connection,
         request_id: str,
@@ -389,11 +398,11 @@
         self.group.ran.append(ran)
         return f'COMPLETE {self.name}.{len(self.group.ran)}\r\n'
 
-    def _reject(self, connection: Connection, word: str) -> str:
+    def _reject(self, connection: Connection, code: str) -> str:
         if connection.transaction:
-            connection.has_failed = True
-        return f'ERROR {word} {self.name}\r\n'
+            connection.is_aborted = True
+        return f'ERROR {code} {self.name}\r\n'
 
-    def _has(self, floor: str) -> bool:
-        term, _, number = floor.partition('.')
-        return int(term) <= self.term and int(number) <= len(self.log)
+    def _includes_position(self, min_position: str) -> bool:
+        term, _, offset = min_position.partition('.')
+        return int(term) <= self.term and int(offset) <= len(self.log)
--- a/deckdrum/standins/users/store.py
+++ b/deckdrum/standins/users/store.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store."""
+"""A stand-in for the store of the platform."""
 
 import json
 from collections import Counter
@@ -13,19 +13,19 @@
 from deckdrum.utils import Address
 from deckdrum.utils.http import HttpServer, Reply, Request
 
-_PREFIX: Final = '/-/objects/'
-_MS: Final = 1000
+_PATH_PREFIX: Final = '/-/objects/'
+_MS_PER_S: Final = 1000
 
 
 class StoreFault(StrEnum):
-    """What is wrong with the store."""
+    """A fault of the store."""
 
     NONE = 'none'
     BUSY = 'busy'
     MANY = 'many'
     RESET = 'reset'
     SILENT = 'silent'
-    #: Changes are made, and their answers lost.
+    #: Changes are applied but not answered.
     ANSWERS_LOST = 'answers lost'
 
 
@@ -35,7 +35,7 @@
 _NOT_FOUND: Final = 404
 _CONFLICT: Final = 409
 _GONE: Final = 410
-#: Longer than any test runs, in seconds.
+#: Delay of answers that must never arrive: longer than any test.
 HANG_DURATION_S: Final = 3600.0
 _Object = dict[str, Any]
 _ByName = dict[str, _Object]
@@ -56,17 +56,17 @@
     Attributes
     ----------
     page : int
-        Objects of one page.
+        Number of objects per page of a list.
     delay : float
-        Time of an answer in seconds.
+        Delay of each answer in seconds.
     fault : StoreFault
-        What is wrong for everybody.
+        Fault for all machines.
     turned_away : dict of str to StoreFault
-        What is wrong for single machines, by the name of their door.
+        Faults for single machines, by machine name; override `fault`.
     revision : int
-        Counts the changes of all objects.
+        Revision of the latest change.
     calls : Counter of str
-        Calls by their HTTP method.
+        Number of calls by HTTP method.
     """
 
     page: int = 500
@@ -77,34 +77,36 @@
     calls: Counter[str] = field(default_factory=Counter)
     _stored: dict[str, _ByName] = field(default_factory=dict)
     _events: list[_Event] = field(default_factory=list)
-    _history_from: int = 0
+    _oldest_revision: int = 0
     _changed: Any = field(default_factory=curio.Condition)
-    _doors: list[HttpServer] = field(default_factory=list)
-    #: Watches so far, and how many of the first are never answered.
-    _watches: int = 0
-    _muted: int = 0
+    _endpoints: list[HttpServer] = field(default_factory=list)
+    #: Number of watches so far, and the last of those never answered.
+    _watch_count: int = 0
+    _last_stalled_watch: int = 0
 
     def stall_pending_watches(self) -> None:
-        """Never answer the watches that wait now; later ones are."""
-        self._muted = self._watches
+        """Never answer the watches received so far."""
+        self._last_stalled_watch = self._watch_count
 
     async def open_endpoint(self, name: str) -> Address:
-        """Listen for one machine, which can be turned away by its name."""
-        door = HttpServer(Address('127.0.0.1', 0), partial(self._answer, name))
-        await door.start()
-        self._doors.append(door)
-        return door.address
+        """Listen for one machine; see `turned_away` for its faults."""
+        endpoint = HttpServer(
+            Address('127.0.0.1', 0), partial(self._handle_request, name)
+        )
+        await endpoint.start()
+        self._endpoints.append(endpoint)
+        return endpoint.address
 
     async def close(self) -> None:
-        """Stop."""
-        for door in self._doors:
-            await door.close()
+        """Close all endpoints."""
+        for endpoint in self._endpoints:
+            await endpoint.close()
 
     async def write(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object as the operator or a database does."""
+        """Write an object unconditionally; return its revision."""
         self.revision += 1
-        known = self._stored.setdefault(kind, {}).get(name)
-        created = known['meta']['created'] if known else self.revision
+        current = self._stored.setdefault(kind, {}).get(name)
+        created = current['meta']['created'] if current else self.revision
         stored = {
             'meta': {
                 'name': name,
@@ -117,7 +119,7 @@
             'status': None,
         }
         self._stored[kind][name] = stored
-        await self._note(kind, stored, removed=False)
+        await self._record_event(kind, stored, removed=False)
         return self.revision
 
     async def drop(self, kind: str, name: str) -> None:
@@ -125,21 +127,21 @@
         stored = self._stored.get(kind, {}).pop(name, None)
         if stored is not None:
             self.revision += 1
-            await self._note(kind, stored, removed=True)
+            await self._record_event(kind, stored, removed=True)
 
     def read(self, kind: str, name: str) -> Any:
-        """Return an object's spec, or None."""
+        """Return the spec of an object, or None if there is none."""
         stored = self._stored.get(kind, {}).get(name)
         return None if stored is None else stored['spec']
 
     async def compact_history(self) -> None:
-        """Cut the watches, and answer those from earlier revisions by 410."""
+        """Discard past events; watches from earlier revisions get a 410."""
         self._events.clear()
-        self._history_from = self.revision
+        self._oldest_revision = self.revision
         async with self._changed:
             await self._changed.notify_all()
 
-    async def _note(
+    async def _record_event(
         self,
         kind: str,
         stored: dict[str, Any],
@@ -150,9 +152,11 @@
         async with self._changed:
             await self._changed.notify_all()
 
-    async def _answer(self, door: str, request: Request) -> Reply | None:
+    async def _handle_request(
+        self, machine: str, request: Request
+    ) -> Reply | None:
         self.calls[request.method] += 1
-        fault = self.turned_away.get(door, self.fault)
+        fault = self.turned_away.get(machine, self.fault)
         if fault is StoreFault.RESET:
             return None
         if fault is StoreFault.SILENT:
@@ -169,7 +173,7 @@
         return reply
 
     async def _perform(self, request: Request) -> Reply:
-        kind, _, name = request.path.removeprefix(_PREFIX).partition('/')
+        kind, _, name = request.path.removeprefix(_PATH_PREFIX).partition('/')
         if request.method == 'GET':
             return await self._read(request, kind, name)
         if request.method == 'DELETE':
@@ -189,31 +193,31 @@
     def _list(self, request: Request, kind: str) -> Reply:
         """Return one page of a list."""
         after = request.query.get('after', '')
-        known = self._stored.get(kind, {})
-        names = sorted(name for name in known if name > after)
-        shown = [known[name] for name in names[: self.page]]
+        known_objects = self._stored.get(kind, {})
+        names = sorted(name for name in known_objects if name > after)
+        page_items = [known_objects[name] for name in names[: self.page]]
         return Reply.from_json(
             {
-                'items': shown,
+                'items': page_items,
                 'morePages': len(names) > self.page,
                 'currentRev': self.revision,
             },
         )
 
     async def _watch(self, request: Request, kind: str) -> Reply:
-        self._watches += 1
-        number = self._watches
+        self._watch_count += 1
+        number = self._watch_count
         since = int(request.query['watch'])
-        wait = int(request.query.get('waitMs') or 0) / _MS
-        if since < self._history_from:
+        wait = int(request.query.get('waitMs') or 0) / _MS_PER_S
+        if since < self._oldest_revision:
             return Reply.from_text('history is gone', _GONE)
         async with curio.ignore_after(wait):
             async with self._changed:
-                while not self._has_news(kind, since):
+                while not self._has_updates(kind, since):
                     await self._changed.wait()
-        if number <= self._muted:
+        if number <= self._last_stalled_watch:
             await curio.sleep(HANG_DURATION_S)
-        if since < self._history_from:
+        if since < self._oldest_revision:
             return Reply.from_text('history is gone', _GONE)
         events = [
             {'removed': event.removed, 'object': event.stored}
@@ -223,9 +227,9 @@
             {'events': events, 'currentRev': self.revision},
         )
 
-    def _has_news(self, kind: str, since: int) -> bool:
-        are_partitioned = since < self._history_from
-        return are_partitioned or bool(self._find_events(kind, since))
+    def _has_updates(self, kind: str, since: int) -> bool:
+        is_compacted = since < self._oldest_revision
+        return is_compacted or bool(self._find_events(kind, since))
 
     def _find_events(self, kind: str, since: int) -> list[_Event]:
         return [
@@ -237,30 +241,33 @@
     async def _put(self, request: Request, kind: str, name: str) -> Reply:
         body = json.loads(request.body)
         name = name or body['meta']['name']
-        known = self._stored.get(kind, {}).get(name)
-        if request.method == 'POST' and known is not None:
-            return Reply.from_json(known, _CONFLICT)
-        if request.method == 'PUT' and known is None:
+        current = self._stored.get(kind, {}).get(name)
+        if request.method == 'POST' and current is not None:
+            return Reply.from_json(current, _CONFLICT)
+        if request.method == 'PUT' and current is None:
             return Reply.from_text('no such object', _NOT_FOUND)
-        wanted = body['meta'].get('revision')
-        if known is not None and wanted not in {None, _read_revision(known)}:
-            return Reply.from_json(known, _CONFLICT)
-        if known is not None and known['spec'] == body['spec']:
-            return Reply.from_json(known)
+        expected_revision = body['meta'].get('revision')
+        if current is not None and expected_revision not in {
+            None,
+            _get_revision(current),
+        }:
+            return Reply.from_json(current, _CONFLICT)
+        if current is not None and current['spec'] == body['spec']:
+            return Reply.from_json(current)
         await self.write(kind, name, body['spec'])
         return Reply.from_json(self._stored[kind][name])
 
     async def _delete(self, request: Request, kind: str, name: str) -> Reply:
-        known = self._stored.get(kind, {}).get(name)
-        if known is None:
+        current = self._stored.get(kind, {}).get(name)
+        if current is None:
             return Reply.from_text('no such object', _NOT_FOUND)
-        wanted = int(request.query.get('revision', '0'))
-        if wanted not in {0, _read_revision(known)}:
-            return Reply.from_json(known, _CONFLICT)
+        expected_revision = int(request.query.get('revision', '0'))
+        if expected_revision not in {0, _get_revision(current)}:
+            return Reply.from_json(current, _CONFLICT)
         await self.drop(kind, name)
-        return Reply.from_json(known)
+        return Reply.from_json(current)
 
 
-def _read_revision(stored: dict[str, Any]) -> int:
+def _get_revision(stored: dict[str, Any]) -> int:
     revision: int = stored['meta']['revision']
     return revision
--- a/deckdrum/standins/users/tests/test_databases.py
+++ b/deckdrum/standins/users/tests/test_databases.py
@@ -1,12 +1,12 @@
-"""The stand-in of a group while nobody leads it."""
+"""The stand-in for a database group while it has no primary."""
 
 import curio
 
 from deckdrum.testing.nodes import Deployment, play
 
 
-def test_server_that_comes_back_while_nobody_leads_waits_for_a_leader() -> None:
-    """A soak (seed 816) ended here, between one term and the next."""
+def test_rejoining_server_waits_until_there_is_a_primary() -> None:
+    """`rejoin` must not fail between one term and the next."""
 
     async def scenario(deployment: Deployment) -> None:
         old, back, new = deployment.group.servers.values()
