--- a/deckdrum/proxy/admin.py
+++ b/deckdrum/proxy/admin.py
@@ -158,7 +158,7 @@
 
 
 def _describe_database(keeper: Keeper, name: str) -> dict[str, Any]:
-    state = keeper.watch.read_state(name)
+    state = keeper.watch.get_state(name)
     pool = keeper.pools[name]
     return {
         'answers': state is not None,
