--- a/deckdrum/commands/__init__.py
+++ b/deckdrum/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The programs: proxy, control, stand-ins and bench."""
+"""Command-line programs: proxy, control, stand-ins and benchmarks."""
--- a/deckdrum/commands/arguments.py
+++ b/deckdrum/commands/arguments.py
@@ -9,18 +9,18 @@
 
 from deckdrum.utils import Address
 
-#: Kinds of file that `validate` checks.
+#: Kinds of files that `validate` accepts.
 CHECKED_KINDS: Final = ('configuration', 'document', 'platform', 'settings')
 
 
 def add_arguments(command: argparse.ArgumentParser, name: str) -> None:
-    """Give the command of that name its arguments."""
-    for add in _ADDERS.get(name, ()):
+    """Add the arguments of the command `name` to its parser."""
+    for add in _ARGUMENT_ADDERS.get(name, ()):
         add(command)
 
 
 def _add_file(command: argparse.ArgumentParser) -> None:
-    command.add_argument('file', type=Path, help='the file')
+    command.add_argument('file', type=Path, help='path of the file')
 
 
 def _add_kind(command: argparse.ArgumentParser) -> None:
@@ -53,7 +53,7 @@
     )
 
 
-def _add_subject(command: argparse.ArgumentParser) -> None:
+def _add_explain_target(command: argparse.ArgumentParser) -> None:
     command.add_argument('service', nargs='?', help='name of the service')
     command.add_argument(
         '--admin',
@@ -69,7 +69,7 @@
         '--logs',
         type=Path,
         nargs='+',
-        help='log files of nodes; standard input without any',
+        help='log files of nodes; standard input by default',
     )
 
 
@@ -77,27 +77,27 @@
     command.add_argument('--json', action='store_true')
 
 
-def _add_origin(command: argparse.ArgumentParser) -> None:
+def _add_change_metadata(command: argparse.ArgumentParser) -> None:
     command.add_argument(
         '--base',
         type=int,
-        help='number of the configuration that you looked at',
+        help='number of the configuration on which the change is based',
     )
     command.add_argument('--author', default=getpass.getuser())
     command.add_argument(
         '--operation',
-        help='id of an earlier try whose outcome was unknown',
+        help='id of an earlier attempt whose outcome is unknown',
     )
 
 
-_Adders = tuple[Callable[[argparse.ArgumentParser], None], ...]
-_ADDERS: Final[Mapping[str, _Adders]] = MappingProxyType(
+_ArgumentAdders = tuple[Callable[[argparse.ArgumentParser], None], ...]
+_ARGUMENT_ADDERS: Final[Mapping[str, _ArgumentAdders]] = MappingProxyType(
     {
         'validate': (_add_file, _add_kind),
         'diff': (_add_file, _add_platform),
-        'apply': (_add_file, _add_platform, _add_origin),
+        'apply': (_add_file, _add_platform, _add_change_metadata),
         'status': (_add_proxies, _add_json),
-        'explain': (_add_subject, _add_logs, _add_json),
+        'explain': (_add_explain_target, _add_logs, _add_json),
         'report': (_add_logs, _add_json),
         'drain': (_add_proxies,),
     },
--- a/deckdrum/commands/bench.py
+++ b/deckdrum/commands/bench.py
@@ -1,4 +1,4 @@
-"""``deckdrum-bench``: the demonstration and experiments, on stand-ins."""
+"""``deckdrum-bench``: demonstration and experiments on stand-ins."""
 
 import argparse
 import json
@@ -20,21 +20,21 @@
 from deckdrum.soak import SoakPlan, SoakReport, run_soak
 from deckdrum.utils.virtualtime import run_virtual
 
-#: Exit code of a program that a signal ended is this and its number.
+#: Added to the signal number in the exit code, as shells do.
 _SIGNAL_EXIT_BASE: Final = 128
 _DESCRIPTION = """\
 Runs proxies and stand-ins in one process.
 
-  demo   the whole path with figures; fails if any promise is broken
+  demo   end-to-end demonstration; fails if an invariant is violated
   list   names of the experiments
   run    one experiment in virtual time
   all    every experiment, compared with the committed baseline
-  relay  cost of the relay in wall-clock time, as ratios in one run
-  slopes slopes of docs/CAPACITY.md, on proxy processes
-  soak   node processes under random faults; fails if a promise is broken"""
+  relay  relay overhead in wall-clock time, as ratios within one run
+  slopes slopes of docs/CAPACITY.md, measured on proxy processes
+  soak   node processes under random faults; fails on violated invariants"""
 
 
-def say(*lines: str) -> None:
+def print_lines(*lines: str) -> None:
     """Write lines to standard output."""
     for line in lines:
         sys.stdout.write(f'{line}\n')
@@ -42,26 +42,26 @@
 
 
 def demo(options: argparse.Namespace) -> int:
-    """Show the whole path with figures."""
+    """Run the end-to-end demonstration."""
     run = run_virtual if options.virtual else curio.run
     account = run(run_demo)
-    say(*account.lines)
+    print_lines(*account.lines)
     return EXIT_FAILED if account.failures else EXIT_OK
 
 
 def relay(options: argparse.Namespace) -> int:
-    """Measure the cost of the relay."""
+    """Measure the relay overhead."""
     for name, figure in curio.run(measure_relay).items():
-        say(f'{name}: {figure:.2f}')
+        print_lines(f'{name}: {figure:.2f}')
     return EXIT_OK
 
 
 def slopes(options: argparse.Namespace) -> int:
     """Measure the slopes of the capacity page."""
-    found = measure_all()
-    say(format_slopes(found))
+    measurements = measure_all()
+    print_lines(format_slopes(measurements))
     options.output.parent.mkdir(parents=True, exist_ok=True)
-    encoded = [asdict(each) for each in found]
+    encoded = [asdict(each) for each in measurements]
     options.output.write_text(json.dumps(encoded, indent=1))
     return EXIT_OK
 
@@ -69,14 +69,14 @@
 def soak(options: argparse.Namespace) -> int:
     """Run node processes under random faults."""
     has_failed = False
-    # An exit, so that the nodes are ended too.
-    signal.signal(signal.SIGTERM, _leave)
+    # Raises SystemExit, so that the node processes are terminated too.
+    signal.signal(signal.SIGTERM, _exit_on_signal)
     for seed in range(options.first, options.first + options.seeds):
         folder = options.output / f'soak-{seed}'
         folder.mkdir(parents=True, exist_ok=True)
         plan = SoakPlan(seed, options.seconds, options.nodes, options.callers)
         report = curio.run(run_soak, plan, folder)
-        say(*_describe_soak(seed, report))
+        print_lines(*_describe_soak(seed, report))
         has_failed = has_failed or bool(report.broken)
     return EXIT_FAILED if has_failed else EXIT_OK
 
@@ -93,15 +93,15 @@
     ]
 
 
-def _leave(number: int, frame: object) -> None:
-    """End the program as asked by a signal."""
+def _exit_on_signal(number: int, frame: object) -> None:
+    """Exit with the conventional code of the signal."""
     sys.exit(_SIGNAL_EXIT_BASE + number)
 
 
 def list_names(options: argparse.Namespace) -> int:
     """List the experiments."""
     for name, experiment in runner.EXPERIMENTS.items():
-        say(f'{name:20} {experiment.summary}')
+        print_lines(f'{name:20} {experiment.summary}')
     return EXIT_OK
 
 
@@ -109,34 +109,34 @@
     """Run one experiment."""
     figures = runner.run_experiment(options.name, options.seed)
     if options.json:
-        say(json.dumps(runner.encode(figures), indent=1))
+        print_lines(json.dumps(runner.encode(figures), indent=1))
     else:
-        say(*runner.describe(options.name, figures))
+        print_lines(*runner.describe(options.name, figures))
     is_met = all(each.is_met for each in figures)
     return EXIT_OK if is_met else EXIT_FAILED
 
 
 def run_all(options: argparse.Namespace) -> int:
-    """Run every experiment and compare with the baseline."""
+    """Run every experiment and compare the figures with the baseline."""
     baseline = runner.read_baseline()
-    found = {}
-    faults = []
+    figures_by_name = {}
+    failures = []
     for name in runner.EXPERIMENTS:
         figures = runner.run_experiment(name, options.seed)
-        found[name] = figures
-        say(*runner.describe(name, figures))
-        worse = runner.find_regressions(figures, baseline.get(name, {}))
-        say(*(f'  WORSE {each}' for each in worse))
-        faults.extend(worse)
-        faults.extend(each.name for each in figures if not each.is_met)
-    runner.write_report(found, options.output)
+        figures_by_name[name] = figures
+        print_lines(*runner.describe(name, figures))
+        regressions = runner.find_regressions(figures, baseline.get(name, {}))
+        print_lines(*(f'  WORSE {each}' for each in regressions))
+        failures.extend(regressions)
+        failures.extend(each.name for each in figures if not each.is_met)
+    runner.write_report(figures_by_name, options.output)
     if options.rebase:
-        runner.write_baseline(found)
-    return EXIT_FAILED if faults else EXIT_OK
+        runner.write_baseline(figures_by_name)
+    return EXIT_FAILED if failures else EXIT_OK
 
 
-_Step = Callable[[argparse.Namespace], int]
-_STEPS: Final[Mapping[str, _Step]] = MappingProxyType(
+_Command = Callable[[argparse.Namespace], int]
+_COMMANDS: Final[Mapping[str, _Command]] = MappingProxyType(
     {
         'demo': demo,
         'list': list_names,
@@ -154,13 +154,13 @@
     parser = make_parser('deckdrum-bench', _DESCRIPTION)
     commands = parser.add_subparsers(dest='command', required=True)
     parsers = {
-        name: commands.add_parser(name, help=(step.__doc__ or '').strip())
-        for name, step in _STEPS.items()
+        name: commands.add_parser(name, help=(command.__doc__ or '').strip())
+        for name, command in _COMMANDS.items()
     }
     parsers['demo'].add_argument(
         '--virtual',
         action='store_true',
-        help='in virtual time: the same figures on every run',
+        help='run in virtual time, with the same figures on every run',
     )
     parsers['run'].add_argument('name', choices=list(runner.EXPERIMENTS))
     parsers['run'].add_argument('--json', action='store_true')
@@ -188,7 +188,7 @@
 def _add_soak_options(parser: argparse.ArgumentParser) -> None:
     plan = SoakPlan(seed=1)
     parser.add_argument('--first', type=int, default=1, help='first seed')
-    parser.add_argument('--seeds', type=int, default=1, help='how many')
+    parser.add_argument('--seeds', type=int, default=1, help='number of seeds')
     parser.add_argument('--seconds', type=float, default=plan.seconds)
     parser.add_argument('--nodes', type=int, default=plan.nodes)
     parser.add_argument('--callers', type=int, default=plan.callers)
@@ -196,11 +196,11 @@
         '--output',
         type=Path,
         default=Path('build'),
-        help='folder for the logs of the nodes',
+        help='directory for the logs of the nodes',
     )
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run the program and return its exit code."""
     options = build_parser().parse_args(arguments)
-    return _STEPS[options.command](options)
+    return _COMMANDS[options.command](options)
--- a/deckdrum/commands/control.py
+++ b/deckdrum/commands/control.py
@@ -1,4 +1,4 @@
-"""``deckdrumctl``: the operators' program."""
+"""``deckdrumctl``: command-line tool for operators."""
 
 import argparse
 import json
@@ -50,7 +50,7 @@
 from deckdrum.utils.http import HttpClient, Request
 
 _DESCRIPTION = """\
-Checks and applies the configuration, and asks proxies what they do."""
+Checks and applies configurations and shows the state of proxies."""
 _SALT_BYTES: Final = 16
 _CALL_TIMEOUT_S: Final = 5.0
 _OK: Final = 200
@@ -64,15 +64,15 @@
 )
 
 
-def say(*lines: str) -> None:
+def print_lines(*lines: str) -> None:
     """Write lines to standard output."""
     for line in lines:
         sys.stdout.write(f'{line}\n')
 
 
 async def validate(options: argparse.Namespace) -> int:
-    """Check a file and say what it holds."""
-    say(f'{options.file}: valid: {_CHECKS[options.kind](options.file)}')
+    """Check a file and summarize its contents."""
+    print_lines(f'{options.file}: valid: {_CHECKS[options.kind](options.file)}')
     return EXIT_OK
 
 
@@ -99,8 +99,8 @@
 
 def _check_configuration(path: Path) -> str:
     configuration = check_configuration(path.read_bytes())
-    book = configuration.workspaces
-    workspaces = len(book.workspaces) if book else 'no'
+    directory = configuration.workspaces
+    workspaces = len(directory.workspaces) if directory else 'no'
     return (
         f'version {configuration.version}, {len(configuration.routes)} routes, '
         f'{len(configuration.services)} services, {workspaces} workspaces'
@@ -108,7 +108,7 @@
 
 
 _Check = Callable[[Path], str]
-#: What `validate` checks, by the kind of file.
+#: Checks of `validate` by kind of file.
 _CHECKS: Final[Mapping[str, _Check]] = MappingProxyType(
     {
         'configuration': _check_configuration,
@@ -120,11 +120,11 @@
 
 
 async def diff(options: argparse.Namespace) -> int:
-    """Show what applying a document would change."""
+    """Show the changes that applying a document would make."""
     document = parse_document(options.file.read_text(), str(options.file))
     base = await _read_base(options.platform)
     if base.record is None:
-        say('no configuration is stored yet')
+        print_lines('no configuration is stored yet')
         return EXIT_OK
     before = parse_document(base.record.text)
     _print_differences(compare_documents(before, document))
@@ -132,12 +132,12 @@
 
 
 async def apply(options: argparse.Namespace) -> int:
-    """Apply a document as a whole."""
+    """Apply a configuration document atomically."""
     text = options.file.read_text()
     parse_document(text, str(options.file))
     base = await _read_base(options.platform)
     if options.base is not None and options.base != base.number:
-        say(f'conflict: configuration {base.number} is stored')
+        print_lines(f'conflict: configuration {base.number} is stored')
         return EXIT_CONFLICT
     store = HttpObjectStore(options.platform)
     operation = options.operation or str(uuid.uuid4())
@@ -157,57 +157,57 @@
     """Show the state of proxies."""
     exit_code = EXIT_OK
     for address in options.admin:
-        answer = await _ask(address, 'GET', '/status')
+        answer = await _fetch(address, 'GET', '/status')
         if answer is None:
-            say(f'{address}: no answer')
+            print_lines(f'{address}: no answer')
             exit_code = EXIT_FAILED
         elif options.json:
-            say(answer)
+            print_lines(answer)
         else:
             _print_status(address, json.loads(answer))
     return exit_code
 
 
 async def explain(options: argparse.Namespace) -> int:
-    """Show what happened to a service or a request, from proxies or logs."""
+    """Explain what happened to a service or a request, from proxies or logs."""
     if options.admin is None:
-        question = LogQuery(options.request or '', options.service or '')
+        query = LogQuery(options.request or '', options.service or '')
         found = print_explanation(
-            options.logs or (), question, options.json, say
+            options.logs or (), query, options.json, print_lines
         )
         return EXIT_OK if found else EXIT_FAILED
     found = False
     for address in options.admin:
         path = f'/explain?service={options.service}'
-        answer = await _ask(address, 'GET', path)
+        answer = await _fetch(address, 'GET', path)
         if answer is not None:
             found = True
             _print_explanation(address, json.loads(answer))
     if not found:
-        say(f'no proxy asked keeps {options.service}')
+        print_lines(f'no proxy asked keeps {options.service}')
     return EXIT_OK if found else EXIT_FAILED
 
 
 async def report(options: argparse.Namespace) -> int:
-    """Show figures of a while from the logs of nodes."""
-    found = print_report(options.logs or (), options.json, say)
+    """Summarize the logs of nodes."""
+    found = print_report(options.logs or (), options.json, print_lines)
     return EXIT_OK if found else EXIT_FAILED
 
 
 async def drain(options: argparse.Namespace) -> int:
-    """Begin the planned stop of a proxy."""
-    answer = await _ask(options.admin[0], 'POST', '/drain')
-    say(f'{options.admin[0]}: {answer or "no answer"}'.strip())
+    """Start the graceful shutdown of a proxy."""
+    answer = await _fetch(options.admin[0], 'POST', '/drain')
+    print_lines(f'{options.admin[0]}: {answer or "no answer"}'.strip())
     return EXIT_OK if answer else EXIT_FAILED
 
 
 async def password(options: argparse.Namespace) -> int:
     """Print the verifier of a password."""
-    word = sys.stdin.readline().rstrip('\n')
-    if not word:
-        say('the password on standard input is empty')
+    plaintext = sys.stdin.readline().rstrip('\n')
+    if not plaintext:
+        print_lines('the password on standard input is empty')
         return EXIT_USAGE
-    say(make_verifier(word, os.urandom(_SALT_BYTES)))
+    print_lines(make_verifier(plaintext, os.urandom(_SALT_BYTES)))
     return EXIT_OK
 
 
@@ -219,7 +219,7 @@
         await store.close()
 
 
-async def _ask(address: Address, method: str, path: str) -> str | None:
+async def _fetch(address: Address, method: str, path: str) -> str | None:
     client = HttpClient(address)
     try:
         reply = await client.call(Request(method, path), _CALL_TIMEOUT_S)
@@ -232,35 +232,37 @@
 
 def _print_differences(differences: Sequence[Difference]) -> None:
     if not differences:
-        say('nothing differs')
+        print_lines('nothing differs')
     for each in differences:
         before = each.before or '(absent)'
         after = each.after or '(absent)'
-        say(f'{each.path}: {before} -> {after}')
+        print_lines(f'{each.path}: {before} -> {after}')
 
 
 def _print_apply_report(report: ApplyReport, operation: str) -> None:
-    say(f'{report.outcome}: configuration {report.number}')
+    print_lines(f'{report.outcome}: configuration {report.number}')
     if report.outcome is ApplyOutcome.CONFLICT:
-        say(f'{report.author} changed meanwhile:')
+        print_lines(f'{report.author} changed meanwhile:')
     if report.outcome is ApplyOutcome.UNKNOWN:
-        say(f'run again with --operation {operation}')
+        print_lines(f'run again with --operation {operation}')
     _print_differences(report.differences)
 
 
 def _print_status(address: Address, shown: Mapping[str, Any]) -> None:
     number = shown['configuration']['number']
     age = shown['configuration']['in_force_for']
-    say(
+    print_lines(
         f'{shown["name"]} ({address}, {shown["data_centre"]}): '
         f'ready {shown["ready"]}, callers {shown["callers"]}, '
         f'configuration {number} in force for {age:.1f} s',
     )
     for name, service in shown['services'].items():
-        say(f'  {name}: term {service["term"]}, primary {service["primary"]}')
+        print_lines(
+            f'  {name}: term {service["term"]}, primary {service["primary"]}'
+        )
         for database, entry in service['databases'].items():
             state = entry['state'] or {'role': 'silent', 'applied': '?'}
-            say(
+            print_lines(
                 f'    {database}: {state["role"]}, applied '
                 f'{state["applied"]}, in use {entry["held"]}, '
                 f'waiting {entry["waiting"]}',
@@ -268,25 +270,27 @@
 
 
 def _print_explanation(address: Address, shown: Mapping[str, Any]) -> None:
-    say(f'{address}:')
+    print_lines(f'{address}:')
     for report in shown['failovers']:
-        say(
+        print_lines(
             f'  failover to term {report["term"]} by {report["driver"]}: '
             f'{report["lost"]} -> {report["promoted"]}, {report["reason"]}',
         )
         start = report['phases'].get('last answer', 0)
         for phase, at in report['phases'].items():
-            say(f'    {phase}: {at - start:.3f} s after the last answer')
+            print_lines(
+                f'    {phase}: {at - start:.3f} s after the last answer'
+            )
     for each in shown['decisions']:
         ago = shown['now'] - each['at']
-        say(
+        print_lines(
             f'  {ago:.1f} s ago, {each["group"]}: {each["outcome"]}, '
             f'{each["database"] or "no database"}, {each["reason"]}',
         )
 
 
-_Step = Callable[[argparse.Namespace], Awaitable[int]]
-_STEPS: Final[Mapping[str, _Step]] = MappingProxyType(
+_Command = Callable[[argparse.Namespace], Awaitable[int]]
+_COMMANDS: Final[Mapping[str, _Command]] = MappingProxyType(
     {
         'validate': validate,
         'diff': diff,
@@ -304,8 +308,8 @@
     """Return the command line of ``deckdrumctl``."""
     parser = make_parser('deckdrumctl', _DESCRIPTION)
     commands = parser.add_subparsers(dest='command', required=True)
-    for name, step in _STEPS.items():
-        summary = (step.__doc__ or '').strip()
+    for name, run_command in _COMMANDS.items():
+        summary = (run_command.__doc__ or '').strip()
         command = commands.add_parser(name, help=summary, description=summary)
         add_arguments(command, name)
     return parser
@@ -314,9 +318,9 @@
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run the program and return its exit code."""
     options = build_parser().parse_args(arguments)
-    step = _STEPS[options.command]
+    run_command = _COMMANDS[options.command]
     try:
-        exit_code: int = curio.run(step, options)
+        exit_code: int = curio.run(run_command, options)
     except (DocumentError, SettingsError, OSError) as error:
         sys.stderr.write(f'{error}\n')
         return EXIT_USAGE
--- a/deckdrum/commands/explaining.py
+++ b/deckdrum/commands/explaining.py
@@ -1,4 +1,4 @@
-"""Telling from log lines what happened to a request or a group, in order."""
+"""Reconstructing from logs what happened to a request or a service."""
 
 import json
 import sys
@@ -8,14 +8,14 @@
 from pathlib import Path
 from typing import Any, Final
 
-#: How long before a request's first line a group's lines belong to its story,
-#: in seconds: longer than a statement may take and a primary is missed.
+#: Lines of the service from this time before the first line of a request are
+#: included; covers the statement timeout and the detection of a failed primary.
 CONTEXT_BEFORE_S: Final = 3.0
-#: The time that `logging` writes: a comma before the milliseconds.
+#: Format of `logging`, with a comma before the milliseconds.
 _TIME_FORMAT: Final = '%Y-%m-%d %H:%M:%S,%f'
-#: Fields that the heading of a line shows already.
+#: Fields that `LogLine.render` shows before the others.
 _HEADING_FIELDS: Final = frozenset(('time', 'event', 'source'))
-#: Events of the surroundings that may decide what becomes of a request.
+#: Prefixes of events that may affect the outcome of a request.
 _CONTEXT_EVENTS: Final = (
     'change.',
     'configuration.',
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a node's log."""
+    """A line of a node's log."""
 
     time: datetime
     source: str
@@ -39,16 +39,16 @@
 
     @property
     def service(self) -> str:
-        """Database group that the line is about, if any."""
+        """Service that the line refers to, or an empty string."""
         return str(self.fields.get('service', ''))
 
     @property
     def request(self) -> str:
-        """Id of the request that the line is about, if any."""
+        """Id of the request that the line refers to, or an empty string."""
         return str(self.fields.get('request', ''))
 
     def render(self) -> str:
-        """Return the line for a person."""
+        """Return the line in readable form."""
         shown = ' '.join(
             f'{name}={field}'
             for name, field in self.fields.items()
@@ -59,16 +59,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LogQuery:
-    """What shall be explained; empty parts do not restrict."""
+    """Selects log lines; empty fields match everything."""
 
     request: str = ''
     service: str = ''
 
 
 def read_lines(paths: Sequence[Path]) -> Iterator[LogLine]:
-    """Read log lines from files, or from standard input without any.
+    """Read log lines from files, or from standard input without paths.
 
-    Lines of other programs between them are passed over.
+    Lines that are not log lines of a node are skipped.
     """
     if not paths:
         yield from _parse_lines(sys.stdin)
@@ -79,21 +79,21 @@
 
 def explain_lines(
     lines: Iterable[LogLine],
-    question: LogQuery,
+    query: LogQuery,
 ) -> list[LogLine]:
-    """Return the lines that tell what happened, in order of time.
+    """Return the lines that match a query, ordered by time.
 
-    Of a request these are its own lines, and what its group's nodes came to
-    believe or did from a while before it to its end.
+    For a request, these are its own lines and the state changes of its service
+    from `CONTEXT_BEFORE_S` before its first line up to its last line.
     """
     ordered = sorted(lines, key=lambda line: line.time)
-    if not question.request:
+    if not query.request:
         return [
             line
             for line in ordered
-            if line.service == question.service and _is_context(line)
+            if line.service == query.service and _is_context(line)
         ]
-    own = [line for line in ordered if line.request == question.request]
+    own = [line for line in ordered if line.request == query.request]
     if not own:
         return []
     service = next((line.service for line in own if line.service), '')
@@ -111,7 +111,7 @@
 
 
 def summarize_request(lines: Sequence[LogLine], request: str) -> str:
-    """Return one sentence on what became of a request."""
+    """Return a sentence that states the outcome of a request."""
     own = [line for line in lines if line.request == request]
     if not own:
         return f'no line tells of request {request}'
@@ -125,17 +125,17 @@
 
 def print_explanation(
     paths: Sequence[Path],
-    question: LogQuery,
+    query: LogQuery,
     as_json: bool,
-    say: Callable[[str], None],
+    print_line: Callable[[str], None],
 ) -> bool:
-    """Say what the logs tell; return whether they tell anything."""
-    told = explain_lines(read_lines(paths), question)
-    for line in told:
-        say(json.dumps(line.fields) if as_json else line.render())
-    if question.request and not as_json:
-        say(summarize_request(told, question.request))
-    return bool(told)
+    """Print the lines that match a query; return whether there are any."""
+    matching = explain_lines(read_lines(paths), query)
+    for line in matching:
+        print_line(json.dumps(line.fields) if as_json else line.render())
+    if query.request and not as_json:
+        print_line(summarize_request(matching, query.request))
+    return bool(matching)
 
 
 def _is_context(line: LogLine) -> bool:
@@ -150,7 +150,7 @@
 
 
 def _parse(text: str) -> LogLine | None:
-    """Return a log line; None for what is none."""
+    """Parse a log line; return None if it is not one."""
     start = text.find('{')
     if start < 0:
         return None
@@ -159,5 +159,5 @@
         time = datetime.strptime(fields['time'], _TIME_FORMAT)
         return LogLine(time, fields['source'], fields['event'], fields)
     except (ValueError, KeyError, TypeError):
-        # Another program's line, or one that was cut: not ours to explain.
+        # A line of another program, or a truncated one.
         return None
--- a/deckdrum/commands/parsing.py
+++ b/deckdrum/commands/parsing.py
@@ -1,11 +1,10 @@
-"""What the programs' command lines share."""
+"""Exit codes and options that all programs share."""
 
 import argparse
 from typing import Final
 
 from deckdrum import __version__
 
-#: Exit codes of all programs.
 EXIT_OK: Final = 0
 EXIT_FAILED: Final = 1
 EXIT_USAGE: Final = 2
@@ -15,10 +14,10 @@
 _EXIT_TEXT: Final = """\
 exit codes:
   0  done
-  1  failed; the message says what and why
-  2  wrong usage, or a file that is not valid
-  3  conflict: somebody else changed the configuration meanwhile
-  4  unknown: the platform did not answer; try again, nothing is doubled
+  1  failed; the message states the reason
+  2  usage error or invalid file
+  3  conflict: the configuration was changed by somebody else meanwhile
+  4  unknown: the platform did not answer; retrying is safe
 """
 
 
--- a/deckdrum/commands/proxy.py
+++ b/deckdrum/commands/proxy.py
@@ -20,13 +20,13 @@
 from deckdrum.utils import Address, open_journal
 
 _DESCRIPTION = """\
-Runs one deckdrum proxy in the foreground. SIGTERM or SIGINT begins a planned
-stop: requests in flight are finished, callers are told at a transaction
-boundary, and the process ends within the setting drain_limit."""
+Runs one deckdrum proxy in the foreground. SIGTERM or SIGINT starts a graceful
+shutdown: requests in flight are finished, clients are notified at a
+transaction boundary, and the process exits within the setting drain_limit."""
 
 
 async def run_until_signal(settings: ProxySettings) -> bool:
-    """Run a proxy; tell whether it drained in time."""
+    """Run a proxy until a signal; return whether it drained in time."""
     store = HttpObjectStore(Address.parse(settings.platform))
     proxy = Proxy(settings, store, open_journal(settings.name))
     with catch_signals() as signals:
@@ -47,7 +47,7 @@
     parser.add_argument(
         '--check',
         action='store_true',
-        help='only check the settings file',
+        help='check the settings file and exit',
     )
     options = parser.parse_args(arguments)
     try:
--- a/deckdrum/commands/reporting.py
+++ b/deckdrum/commands/reporting.py
@@ -1,7 +1,7 @@
-"""Figures of a while from the logs of several nodes.
+"""Statistics from the logs of several nodes.
 
-Lines of requests are bounded to ten a second a node for each event, so counts
-are of what was logged; shares and gaps hold within what that leaves out.
+Each node logs at most ten lines per second for each request event.  Counts
+therefore cover the logged requests only; fractions and gaps are estimates.
 """
 
 import json
@@ -24,18 +24,18 @@
     summarize_work,
 )
 
-_PERCENT: Final = 100
-_MEDIAN: Final = 50
-_HIGH: Final = 99
-_PLACES: Final = 3
-_LOSS_EVENTS: Final = frozenset(('request.unserved', 'request.late'))
-#: Names and numbers that differ from one loss to the next for one reason.
+_QUANTILE_COUNT: Final = 100
+_MEDIAN_PERCENTILE: Final = 50
+_HIGH_PERCENTILE: Final = 99
+_DECIMALS: Final = 3
+_FAILURE_EVENTS: Final = frozenset(('request.unserved', 'request.late'))
+#: Words with digits, such as ids, which vary between failures of one cause.
 _VARIABLE_PARTS: Final = re.compile(r'[\w.-]*\d[\w.-]*')
 
 
 @dataclass(frozen=True, slots=True)
 class DurationSummary:
-    """Median, 99th percentile and most of some times, in seconds."""
+    """Count, median, 99th percentile and maximum of durations in seconds."""
 
     count: int
     median: float
@@ -44,17 +44,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
-    """Operations that were not served, or late, for one reason.
+class FailureSummary:
+    """Operations of a service that failed or were late for one reason.
 
     Attributes
     ----------
     service : str
-        The group.
+        Name of the service.
     reason : str
-        What the callers were told; ``late`` if they were answered late.
+        The outcome sent to the callers, or ``late``.
     held : Spread
-        How long they took, in seconds.
+        Durations of the operations, in seconds.
     """
 
     service: str
@@ -64,31 +64,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What the logs of a while tell.
+    """Statistics from logs.
 
     Attributes
     ----------
     reads : mapping of str to int
-        Reads that were answered, by the role of their server.
+        Number of answered reads by role of the server.
     replica_share : float or None
-        Part of them that replicas answered; None without reads.
+        Fraction of the reads answered by replicas; None without reads.
     failover : Spread or None
-        Times from the last answered change of one term of a group to the
-        first of a later one; None without changes of primary.
+        Times from the last answered write of a term to the first one of a later
+        term; None without primary changes.
     starts : Spread or None
         Times from a node's start to its first answered statement.
     refusals : mapping of str to int
-        Statements without success, by code.
+        Number of refused statements by code.
     late : int
-        Operations over their route's objective.
+        Number of operations that exceeded the objective of their route.
     answers_lost : int
-        Tries that were given up because their answers are lost.
-    losses : tuple of Loss
-        Why operations were not served or late, the most frequent first.
+        Number of attempts abandoned because their answers were lost.
+    losses : tuple of FailureSummary
+        Failed and late operations by reason, the most frequent first.
     work : tuple of Work
-        What became of the statements of each group and workspace.
+        Statements by service and workspace.
     connections : tuple of Connections
-        What became of the connections to each group.
+        Connections by service.
     """
 
     reads: Mapping[str, int]
@@ -98,13 +98,13 @@
     refusals: Mapping[str, int]
     late: int
     answers_lost: int
-    losses: tuple[Loss, ...]
+    losses: tuple[FailureSummary, ...]
     work: tuple[WorkSummary, ...]
     connections: tuple[ConnectionSummary, ...]
 
 
 def summarize_lines(lines: Iterable[LogLine]) -> Report:
-    """Return the figures of log lines, given in any order."""
+    """Return the statistics of log lines, given in any order."""
     ordered = sorted(lines, key=lambda line: line.time)
     events = Counter(line.event for line in ordered)
     served = [line for line in ordered if line.event == 'request.served']
@@ -127,62 +127,64 @@
         dict(refusals),
         events['request.late'],
         events['answer.lost'],
-        tuple(_find_losses(ordered)),
+        tuple(_summarize_failures(ordered)),
         summarize_work(ordered),
         summarize_connections(ordered),
     )
 
 
 def summarize_durations(times: Sequence[float]) -> DurationSummary | None:
-    """Return the spread of times in seconds; None of none.
+    """Return the summary of durations in seconds; None without any.
 
     Examples
     --------
     >>> summarize_durations([0.5, 1.0, 4.0])
-    Spread(count=3, median=1.0, high=4.0, most=4.0)
+    DurationSummary(count=3, median=1.0, high=4.0, most=4.0)
     """
     if not times:
         return None
-    # One time alone has no quantiles: it stands for all of them.
-    cuts = quantiles([*times, *times], n=_PERCENT, method='inclusive')
+    # Doubled, because `quantiles` needs at least two values.
+    cuts = quantiles([*times, *times], n=_QUANTILE_COUNT, method='inclusive')
     return DurationSummary(
         len(times),
-        round(cuts[_MEDIAN - 1], _PLACES),
-        round(cuts[_HIGH - 1], _PLACES),
-        round(max(times), _PLACES),
+        round(cuts[_MEDIAN_PERCENTILE - 1], _DECIMALS),
+        round(cuts[_HIGH_PERCENTILE - 1], _DECIMALS),
+        round(max(times), _DECIMALS),
     )
 
 
 def print_report(
     paths: Sequence[Path],
     as_json: bool,
-    say: Callable[[str], None],
+    print_line: Callable[[str], None],
 ) -> bool:
-    """Say the figures of logs; return whether they hold any."""
+    """Print the statistics of logs; return whether there were requests."""
     report = summarize_lines(read_lines(paths))
     figures = asdict(report)
     if as_json:
-        say(json.dumps(figures))
+        print_line(json.dumps(figures))
     else:
-        for told_apart in ('losses', 'work', 'connections'):
-            figures.pop(told_apart)
+        for section in ('losses', 'work', 'connections'):
+            figures.pop(section)
         for name, figure in figures.items():
-            say(f'{name}: {"none" if figure is None else figure}')
+            print_line(f'{name}: {"none" if figure is None else figure}')
         for loss in report.losses:
-            say(describe_loss(loss))
+            print_line(describe_failures(loss))
         for work in report.work:
-            say(describe_work(work))
+            print_line(describe_work(work))
         for connections in report.connections:
-            say(describe_connections(connections))
+            print_line(describe_connections(connections))
     return bool(report.reads or report.refusals)
 
 
-def describe_loss(loss: Loss) -> str:
-    """Return a line for a person.
+def describe_failures(loss: FailureSummary) -> str:
+    """Return the summary as one readable line.
 
     Examples
     --------
-    >>> describe_loss(Loss('stalls', 'late', DurationSummary(7, 0.3, 0.5, 0.6)))
+    >>> describe_failures(
+    ...     FailureSummary('stalls', 'late', DurationSummary(7, 0.3, 0.5, 0.6))
+    ... )
     'lost: stalls 7 times in 0.3 s (99 %: 0.5, most: 0.6): late'
     """
     held = loss.held
@@ -190,11 +192,11 @@
     return f'lost: {loss.service} {held.count} times {times}: {loss.reason}'
 
 
-def _find_losses(ordered: Iterable[LogLine]) -> list[Loss]:
-    """Return why operations were lost, by group and reason."""
+def _summarize_failures(ordered: Iterable[LogLine]) -> list[FailureSummary]:
+    """Summarize failed and late operations by service and reason."""
     times: defaultdict[tuple[str, str], list[float]] = defaultdict(list)
     for line in ordered:
-        if line.event not in _LOSS_EVENTS:
+        if line.event not in _FAILURE_EVENTS:
             continue
         outcome = str(line.fields.get('outcome', ''))
         is_late = line.event == 'request.late'
@@ -202,18 +204,18 @@
         service = str(line.fields.get('service', ''))
         times[service, reason].append(float(line.fields.get('seconds', 0)))
     losses = [
-        Loss(service, reason, spread)
+        FailureSummary(service, reason, durations)
         for (service, reason), held in times.items()
-        if (spread := summarize_durations(held)) is not None
+        if (durations := summarize_durations(held)) is not None
     ]
     return sorted(losses, key=lambda loss: -loss.held.count)
 
 
 def _find_write_gaps(served: Iterable[LogLine]) -> list[float]:
-    """Return the times without answered changes around changes of primary.
+    """Return the durations without answered writes at primary changes.
 
-    A group is told by the database name of its callers; one with several
-    names counts once for each.
+    Groups are identified by the database name of their callers; a group with
+    several names is counted once for each.
     """
     gaps = []
     latest: dict[str, tuple[int, datetime]] = {}
@@ -222,25 +224,25 @@
             continue
         group = str(line.fields['database'])
         term = int(line.fields['term'])
-        former = latest.get(group)
-        if former is not None and term < former[0]:
-            # Logged late: the next term has begun to answer already.
+        previous = latest.get(group)
+        if previous is not None and term < previous[0]:
+            # Logged after the first write of the next term.
             continue
-        if former is not None and term > former[0]:
-            gaps.append((line.time - former[1]).total_seconds())
+        if previous is not None and term > previous[0]:
+            gaps.append((line.time - previous[1]).total_seconds())
         latest[group] = (term, line.time)
     return gaps
 
 
 def _find_startup_times(ordered: Iterable[LogLine]) -> list[float]:
-    """Return the times from nodes' starts to their first answers."""
-    started: defaultdict[str, datetime | None] = defaultdict(lambda: None)
+    """Return the times from the start of a node to its first answer."""
+    start_times: defaultdict[str, datetime | None] = defaultdict(lambda: None)
     times = []
     for line in ordered:
         if line.event == 'node.started':
-            started[line.source] = line.time
-        began = started[line.source]
-        if line.event == 'request.served' and began is not None:
-            times.append((line.time - began).total_seconds())
-            started[line.source] = None
+            start_times[line.source] = line.time
+        start_time = start_times[line.source]
+        if line.event == 'request.served' and start_time is not None:
+            times.append((line.time - start_time).total_seconds())
+            start_times[line.source] = None
     return times
--- a/deckdrum/commands/signals.py
+++ b/deckdrum/commands/signals.py
@@ -1,4 +1,4 @@
-"""Turning signals into a planned stop."""
+"""Graceful shutdown on signals."""
 
 import signal
 import socket
@@ -8,7 +8,7 @@
 
 import curio
 
-#: Signals that ask for a planned stop.
+#: Signals that start a graceful shutdown.
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
@@ -16,29 +16,29 @@
 def catch_signals(
     numbers: Sequence[signal.Signals] = STOP_SIGNALS,
 ) -> Iterator[Any]:
-    """Give a socket from which the numbers of caught signals can be read.
+    """Yield a socket from which the numbers of caught signals are read.
 
     Notes
     -----
-    The interpreter writes to the socket by itself (`signal.set_wakeup_fd`);
-    no Python code runs inside the signal.
+    The interpreter itself writes to the socket (`signal.set_wakeup_fd`), so no
+    Python code runs in the signal handler.
     """
     receiving, sending = socket.socketpair()
     sending.setblocking(False)
-    before = {number: signal.getsignal(number) for number in numbers}
+    previous_handlers = {number: signal.getsignal(number) for number in numbers}
     for number in numbers:
-        signal.signal(number, _note)
+        signal.signal(number, _ignore_signal)
     signal.set_wakeup_fd(sending.fileno())
     try:
         yield curio.io.Socket(receiving)
     finally:
-        _restore(before)
+        _restore(previous_handlers)
         sending.close()
 
 
-def _restore(before: Mapping[Any, Any]) -> None:
+def _restore(previous_handlers: Mapping[Any, Any]) -> None:
     signal.set_wakeup_fd(-1)
-    for number, action in before.items():
+    for number, action in previous_handlers.items():
         signal.signal(number, action)
 
 
@@ -46,10 +46,10 @@
     signals: Any,
     stop: Callable[[], Awaitable[None]],
 ) -> None:
-    """Call `stop` once a signal has come."""
+    """Call `stop` once a signal is received."""
     await signals.recv(1)
     await stop()
 
 
-def _note(number: int, frame: object) -> None:
-    """Take a signal; the interpreter has written to the socket."""
+def _ignore_signal(number: int, frame: object) -> None:
+    """Do nothing; the interpreter has written to the socket already."""
--- a/deckdrum/commands/standin.py
+++ b/deckdrum/commands/standin.py
@@ -1,4 +1,4 @@
-"""``deckdrum-standin``: test stand-ins of platform and databases."""
+"""``deckdrum-standin``: simulated platform and databases for tests."""
 
 import sys
 from collections.abc import Sequence
@@ -16,12 +16,12 @@
 
   fleet    stand-ins and three proxies, until interrupted
   backends stand-ins only; start deckdrum-proxy yourself"""
-#: First of the fixed ports, as listed in the README.
+#: The ports are listed in the README.
 FIRST_PORT = 6400
 
 
 async def run_deployment(proxies: int) -> None:
-    """Run a deployment until a signal comes."""
+    """Run a deployment until a signal is received."""
     layout = Layout(first_port=FIRST_PORT, proxies=proxies)
     deployment = Deployment(layout, journal=open_journal('standin'))
     await deployment.start()
@@ -35,7 +35,7 @@
 
 
 def describe_ports(deployment: Deployment) -> str:
-    """Return a table of what listens where."""
+    """Return a table of the addresses."""
     lines = ['TEST STAND-INS; user growers-app, password standin']
     lines.append(f'platform     {deployment.platform.address}')
     for proxy in deployment.proxies.values():
@@ -56,7 +56,7 @@
         '--proxies',
         type=int,
         default=3,
-        help='proxies of the fleet (default 3)',
+        help='number of proxies of the fleet (default 3)',
     )
     options = parser.parse_args(arguments)
     proxies = options.proxies if options.what == 'fleet' else 0
--- a/deckdrum/commands/tests/test_commands.py
+++ b/deckdrum/commands/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The programs' command lines, run as processes where it matters."""
+"""Tests of the command-line programs."""
 
 import json
 import signal
@@ -29,25 +29,25 @@
 }
 
 
-def write(path: Path, document: object) -> str:
+def write_yaml(path: Path, document: object) -> str:
     path.write_text(yaml.safe_dump(document, sort_keys=False))
     return str(path)
 
 
-def test_settings_errors_name_all_there_is(
+def test_all_settings_errors_are_reported(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     wrong = SETTINGS | {'listen': 'nowhere', 'nonsense': 1}
-    path = write(tmp_path / 's.yaml', wrong)
+    path = write_yaml(tmp_path / 's.yaml', wrong)
     assert proxy.main(['--check', path]) == 2
-    told = capsys.readouterr().err
-    assert f"{path}: line 3: listen: Value error, 'nowhere'" in told
-    assert 'nonsense' in told
-    assert 'standin' not in told
+    error_output = capsys.readouterr().err
+    assert f"{path}: line 3: listen: Value error, 'nowhere'" in error_output
+    assert 'nonsense' in error_output
+    assert 'standin' not in error_output
 
 
-def test_validate_settings_of_both_kinds(
+def test_validate_platform_and_proxy_settings(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -65,14 +65,14 @@
 
 
 def test_validate(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    good = write(tmp_path / 'good.yaml', build_document())
+    good = write_yaml(tmp_path / 'good.yaml', build_document())
     assert control.main(['validate', good]) == 0
-    bad = write(tmp_path / 'bad.yaml', build_document(services=[]))
+    bad = write_yaml(tmp_path / 'bad.yaml', build_document(services=[]))
     assert control.main(['validate', bad]) == 2
     assert 'services' in capsys.readouterr().err
 
 
-def test_operators_day(
+def test_diff_apply_status_and_explain(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -106,25 +106,25 @@
 
 def test_proxy_process_serves_and_drains(tmp_path: Path) -> None:
     with run_deployment(services=('stalls',), proxies=1) as thread:
-        ports = find_ports(thread)
-        path = write(tmp_path / 's.yaml', ports)
+        settings = build_settings(thread)
+        path = write_yaml(tmp_path / 's.yaml', settings)
         command = [sys.executable, '-c', RUN_PROXY, path]
         process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
         try:
-            admin = ports['admin_listen']
-            wait_ready(f'http://{admin}/readyz')
-            port = ports['listen'].rpartition(':')[2]
-            link = psycopg.connect(
+            admin = settings['admin_listen']
+            wait_until_ready(f'http://{admin}/readyz')
+            port = settings['listen'].rpartition(':')[2]
+            connection = psycopg.connect(
                 host='127.0.0.1',
                 port=port,
                 user='growers-app',
                 password='standin',
                 dbname='stalls',
             )
-            link.execute('CREATE TABLE drained (id int)')
+            connection.execute('CREATE TABLE drained (id int)')
             process.send_signal(signal.SIGTERM)
-            link.execute('INSERT INTO drained VALUES (1)')
-            link.commit()
+            connection.execute('INSERT INTO drained VALUES (1)')
+            connection.commit()
             assert process.wait(20) == 0
         finally:
             process.kill()
@@ -139,19 +139,19 @@
 )
 
 
-def find_ports(thread: DeploymentThread) -> dict[str, Any]:
-    """Return settings with ports that the system gives to nobody else."""
+def build_settings(thread: DeploymentThread) -> dict[str, Any]:
+    """Return proxy settings with fixed ports below the ephemeral ones."""
     assert thread.deployment is not None
-    ports = {
+    settings = {
         'listen': '127.0.0.1:6790',
         'peer_listen': '127.0.0.1:6791',
         'admin_listen': '127.0.0.1:6792',
         'platform': str(thread.deployment.platform.address),
     }
-    return SETTINGS | ports
+    return SETTINGS | settings
 
 
-def wait_ready(url: str) -> None:
+def wait_until_ready(url: str) -> None:
     import time
 
     for _ in range(600):
@@ -164,6 +164,6 @@
     raise AssertionError('the proxy did not become ready')
 
 
-def test_layout_is_the_markets() -> None:
+def test_default_layout() -> None:
     layout = Layout()
     assert (len(layout.services), layout.databases) == (3, 3)
--- a/deckdrum/commands/tests/test_explaining.py
+++ b/deckdrum/commands/tests/test_explaining.py
@@ -1,4 +1,4 @@
-"""Explaining a request from the log lines of several nodes."""
+"""Tests of explanations from the logs of several nodes."""
 
 import io
 import json
@@ -13,8 +13,8 @@
 
 
 def write_logs(folder: Path) -> list[Path]:
-    """Play the loss of a primary, and write what each node logged."""
-    sinks = [io.StringIO() for _ in range(3)]
+    """Simulate the loss of a primary and write the log of each node."""
+    outputs = [io.StringIO() for _ in range(3)]
 
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
@@ -25,46 +25,46 @@
         await client.read_reply()
         await curio.sleep(3)
 
-    play(scenario, logs=sinks)
+    play(scenario, logs=outputs)
     paths = []
-    for number, sink in enumerate(sinks):
+    for number, log_output in enumerate(outputs):
         path = folder / f'n{number}.log'
-        path.write_text(f'a line of another program\n{sink.getvalue()}')
+        path.write_text(f'a line of another program\n{log_output.getvalue()}')
         paths.append(path)
     return paths
 
 
-def test_story_of_a_request(
+def test_explain_request(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     paths = [str(path) for path in write_logs(tmp_path)]
     arguments = ['explain', '--request', 'id-doubt', '--logs', *paths]
     assert control.main(arguments) == 0
-    told = capsys.readouterr().out.splitlines()
-    assert told[-1].startswith('request id-doubt: unknown')
-    assert any('request.refused' in line for line in told)
-    assert not any('id-before' in line for line in told)
+    output = capsys.readouterr().out.splitlines()
+    assert output[-1].startswith('request id-doubt: unknown')
+    assert any('request.refused' in line for line in output)
+    assert not any('id-before' in line for line in output)
 
 
-def test_story_of_a_group_as_json(
+def test_explain_service_as_json(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     paths = [str(path) for path in write_logs(tmp_path)]
     arguments = ['explain', SERVICE, '--json', '--logs', *paths]
     assert control.main(arguments) == 0
-    told: list[dict[str, Any]] = [
+    output: list[dict[str, Any]] = [
         json.loads(line) for line in capsys.readouterr().out.splitlines()
     ]
-    events = [line['event'] for line in told]
+    events = [line['event'] for line in output]
     assert 'leadership.ordered' in events
     assert 'leadership.changed' in events
-    times = [line['time'] for line in told]
+    times = [line['time'] for line in output]
     assert times == sorted(times)
 
 
-def test_unknown_request_is_told(
+def test_unknown_request_is_reported(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
--- a/deckdrum/commands/tests/test_freeze.py
+++ b/deckdrum/commands/tests/test_freeze.py
@@ -1,7 +1,6 @@
-"""A keeper's process is frozen under load, and wakes up again.
+"""Tests that a suspended and resumed keeper process loses no writes.
 
-Proxies are processes of their own, in real time; nothing is asserted about
-how long things take.
+The proxies are separate processes in real time; no durations are asserted.
 """
 
 import itertools
@@ -31,16 +30,16 @@
     history: History,
 ) -> None:
     """Write rows until one is acknowledged."""
-    told = ReportedOutcome.UNKNOWN
-    while told is not ReportedOutcome.DONE:
+    outcome = ReportedOutcome.UNKNOWN
+    while outcome is not ReportedOutcome.DONE:
         number = next(numbers)
         history.record_write(number, ReportedOutcome.UNKNOWN)
         insert = f"INSERT INTO bookings VALUES ({number}, 'f')"
-        told = parse_reported_outcome(await client.run(insert))
-        history.record_write(number, told)
+        outcome = parse_reported_outcome(await client.run(insert))
+        history.record_write(number, outcome)
 
 
-async def freeze_keeper(folder: str) -> list[str]:
+async def suspend_keeper(folder: str) -> list[str]:
     deployment = Deployment(Layout(services=(SERVICE,), proxies=0))
     await deployment.start()
     platform = deployment.platform.address
@@ -51,8 +50,8 @@
         for proxy in proxies:
             await proxy.start(deployment)
         named = {proxy.name: proxy for proxy in proxies}
-        ranked = rank_keepers(SERVICE, named)
-        keeper, entry = named[ranked[0]], named[ranked[1]]
+        ranking = rank_keepers(SERVICE, named)
+        keeper, entry = named[ranking[0]], named[ranking[1]]
         client = await entry.connect(SERVICE)
         await client.run('CREATE TABLE bookings (id int, writer text)')
         await write_until_done(client, numbers, history)
@@ -68,6 +67,6 @@
         await deployment.close()
 
 
-def test_a_frozen_keeper_is_passed_over_and_harms_nothing() -> None:
+def test_suspended_keeper_is_replaced_without_lost_writes() -> None:
     with tempfile.TemporaryDirectory() as folder:
-        assert not curio.run(freeze_keeper, folder)
+        assert not curio.run(suspend_keeper, folder)
--- a/deckdrum/commands/tests/test_reporting.py
+++ b/deckdrum/commands/tests/test_reporting.py
@@ -1,4 +1,4 @@
-"""Figures from the log lines of several nodes."""
+"""Tests of statistics from the logs of nodes."""
 
 import json
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 def build_served(seconds: float, **fields: Any) -> str:
-    """Return the line of a change answered by the primary of term 1."""
+    """Return the line of a write answered by the primary of term 1."""
     defaults: dict[str, Any] = {
         'database': 'stalls',
         'kind': 'change',
@@ -30,13 +30,13 @@
 
 
 def write_log(folder: Path, *lines: str) -> Path:
-    """Write lines between those of another program."""
+    """Write lines after a line of another program."""
     path = folder / 'n1.log'
     path.write_text('\n'.join(('not ours', *lines)))
     return path
 
 
-def test_reads_are_told_by_the_role_of_their_server(tmp_path: Path) -> None:
+def test_reads_are_counted_by_server_role(tmp_path: Path) -> None:
     path = write_log(
         tmp_path,
         build_served(1, kind='read', role='replica'),
@@ -50,15 +50,15 @@
     assert report.replica_share == 0.75
 
 
-def test_gap_lies_between_changes_of_two_terms(tmp_path: Path) -> None:
+def test_write_gap_between_terms(tmp_path: Path) -> None:
     path = write_log(
         tmp_path,
         build_served(1),
         build_served(2),
-        # A group of its own, whose primary stays.
+        # Another group, whose primary does not change.
         build_served(2.5, database='payouts'),
         build_served(3.25, term=2),
-        # Logged by a node that is behind: no second change of primary.
+        # Logged late by another node: not a second primary change.
         build_served(3.5),
         build_served(4, term=2),
     )
@@ -68,7 +68,7 @@
     assert failover.most == 1.25
 
 
-def test_start_lasts_until_the_first_answer(tmp_path: Path) -> None:
+def test_startup_ends_with_the_first_answer(tmp_path: Path) -> None:
     path = write_log(
         tmp_path,
         build_line(1, 'node.started'),
@@ -82,7 +82,7 @@
     assert (starts.count, starts.most) == (2, 0.5)
 
 
-def test_command_tells_refusals_as_json(
+def test_report_as_json(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -94,13 +94,13 @@
         build_line(4, 'answer.lost'),
     )
     assert control.main(['report', '--json', '--logs', str(path)]) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert told['refusals'] == {'DD002': 2}
-    assert (told['late'], told['answers_lost']) == (1, 1)
-    assert told['failover'] is None
+    summarized = json.loads(capsys.readouterr().out)
+    assert summarized['refusals'] == {'DD002': 2}
+    assert (summarized['late'], summarized['answers_lost']) == (1, 1)
+    assert summarized['failover'] is None
 
 
-def test_logs_without_requests_are_a_failure(
+def test_logs_without_requests_fail(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -109,7 +109,7 @@
     assert 'replica_share: none' in capsys.readouterr().out
 
 
-def test_losses_are_told_by_group_and_reason(tmp_path: Path) -> None:
+def test_failures_are_grouped_by_service_and_reason(tmp_path: Path) -> None:
     def build_lost(at: float, outcome: str, service: str) -> str:
         fields = {'outcome': outcome, 'service': service, 'seconds': 0.4}
         return build_line(at, 'request.unserved', **fields)
@@ -126,18 +126,20 @@
         build_late(4, 'stalls'),
     )
     losses = summarize_lines(read_lines([path])).losses
-    told = [(each.service, each.reason, each.held.count) for each in losses]
-    assert told == [
+    summarized = [
+        (each.service, each.reason, each.held.count) for each in losses
+    ]
+    assert summarized == [
         ('stalls', 'not run: LAGGING ..', 2),
         ('payouts', 'not run: LAGGING ..', 1),
         ('stalls', 'late', 1),
     ]
-    said: list[str] = []
-    assert not print_report([path], as_json=False, say=said.append)
-    assert said[-1].startswith('lost: stalls 1 times in 0.3 s')
+    printed: list[str] = []
+    assert not print_report([path], as_json=False, print_line=printed.append)
+    assert printed[-1].startswith('lost: stalls 1 times in 0.3 s')
 
 
-def test_work_adds_up_over_the_lives_of_nodes(tmp_path: Path) -> None:
+def test_work_is_summed_over_incarnations(tmp_path: Path) -> None:
     path = write_log(
         tmp_path,
         build_line(1, 'node.started'),
@@ -157,7 +159,7 @@
     assert work[0].outcomes == {'done': 8, 'limit': 2}
 
 
-def test_connections_are_told_by_group(tmp_path: Path) -> None:
+def test_connections_are_grouped_by_service(tmp_path: Path) -> None:
     figures = {'opened': 1, 'reused': 3, 'closed_for_room': 1}
     path = write_log(
         tmp_path,
--- a/deckdrum/commands/work_summary.py
+++ b/deckdrum/commands/work_summary.py
@@ -1,7 +1,7 @@
-"""What became of the work of groups and workspaces, from nodes' figures.
+"""Outcomes of statements and connections, from the statistics in logs.
 
-A node tells what it has counted since its start every few seconds.  So the
-figures of a node that ended without a word lack its last seconds.
+A node periodically logs its counters since its start.  The counts of a node
+that was killed therefore lack the last seconds before its end.
 """
 
 from collections import Counter, defaultdict
@@ -11,25 +11,25 @@
 
 from deckdrum.commands.explaining import LogLine
 
-_STARTED: Final = 'node.started'
-_WORK: Final = 'work.figures'
-_CONNECTIONS: Final = 'connection.figures'
-_PLACES: Final = 3
+_STARTED_EVENT: Final = 'node.started'
+_WORK_EVENT: Final = 'work.figures'
+_CONNECTIONS_EVENT: Final = 'connection.figures'
+_DECIMALS: Final = 3
 
 
 @dataclass(frozen=True, slots=True)
 class WorkSummary:
-    """Statements of one workspace to one group.
+    """Statements of a workspace to a service.
 
     Attributes
     ----------
     service, workspace : str
-        The group and the workspace; without workspaces the latter is empty.
+        Names of the service and the workspace; the latter may be empty.
     asked : int
-        Statements that callers have asked for, without what nodes answer by
-        themselves.
+        Number of statements of callers, without those that the node answers
+        itself.
     outcomes : mapping of str to int
-        What became of them; adds up to `asked`.
+        Number of statements by outcome; their sum is `asked`.
     """
 
     service: str
@@ -40,16 +40,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSummary:
-    """Connections to the servers of one group.
+    """Connections to the servers of a service.
 
     Attributes
     ----------
     service : str
-        The group.
+        Name of the service.
     reused, opened, closed_for_room : int
-        Found open; opened; closed for one of another workspace.
+        Number of connections that were reused, that were opened, and that were
+        closed to make room for another workspace.
     reused_share : float
-        Part of all that were found open.
+        Fraction of the uses for which an open connection was reused.
     """
 
     service: str
@@ -60,25 +61,25 @@
 
 
 def summarize_work(ordered: Iterable[LogLine]) -> tuple[WorkSummary, ...]:
-    """Return what became of statements, the most asked for first."""
+    """Return the statements by service and workspace, most frequent first."""
     outcomes: defaultdict[tuple[str, str], Counter[str]] = defaultdict(Counter)
-    for line in _find_last_per_run(ordered, _WORK):
+    for line in _find_last_per_run(ordered, _WORK_EVENT):
         for key, number in line.fields['work'].items():
             group, owner, outcome = key.split('/')
             outcomes[group, owner][outcome] += number
-    works = [
+    summaries = [
         WorkSummary(service, workspace, counted.total(), dict(counted))
         for (service, workspace), counted in outcomes.items()
     ]
-    return tuple(sorted(works, key=lambda work: -work.asked))
+    return tuple(sorted(summaries, key=lambda work: -work.asked))
 
 
 def summarize_connections(
     ordered: Iterable[LogLine],
 ) -> tuple[ConnectionSummary, ...]:
-    """Return what became of connections, by group."""
+    """Return the connections by service."""
     totals: defaultdict[str, Counter[str]] = defaultdict(Counter)
-    for line in _find_last_per_run(ordered, _CONNECTIONS):
+    for line in _find_last_per_run(ordered, _CONNECTIONS_EVENT):
         for group, figures in line.fields['connections'].items():
             totals[group].update(figures)
     return tuple(
@@ -88,7 +89,7 @@
 
 
 def describe_work(work: WorkSummary) -> str:
-    """Return a line for a person.
+    """Return the summary as one readable line.
 
     Examples
     --------
@@ -101,13 +102,13 @@
         f'{number} {outcome}'
         for outcome, number in sorted(work.outcomes.items())
     ]
-    whose = work.workspace or '(nobody)'
+    workspace = work.workspace or '(nobody)'
     summed = ' + '.join(parts)
-    return f'work: {work.service} {whose}: {work.asked} asked = {summed}'
+    return f'work: {work.service} {workspace}: {work.asked} asked = {summed}'
 
 
 def describe_connections(connections: ConnectionSummary) -> str:
-    """Return a line for a person.
+    """Return the summary as one readable line.
 
     Examples
     --------
@@ -122,14 +123,14 @@
 
 
 def _find_last_per_run(ordered: Iterable[LogLine], event: str) -> list[LogLine]:
-    """Return the last line of an event in each life of each node."""
+    """Return the last line of an event for each incarnation of a node."""
     latest: dict[tuple[str, int], LogLine] = {}
-    lives: Counter[str] = Counter()
+    run_numbers: Counter[str] = Counter()
     for line in ordered:
-        if line.event == _STARTED:
-            lives[line.source] += 1
+        if line.event == _STARTED_EVENT:
+            run_numbers[line.source] += 1
         if line.event == event:
-            latest[line.source, lives[line.source]] = line
+            latest[line.source, run_numbers[line.source]] = line
     return list(latest.values())
 
 
@@ -145,5 +146,5 @@
         reused,
         opened,
         total['closed_for_room'],
-        round(reused / used, _PLACES) if used else float(0),
+        round(reused / used, _DECIMALS) if used else float(0),
     )
--- a/deckdrum/invariants/__init__.py
+++ b/deckdrum/invariants/__init__.py
@@ -1,6 +1,6 @@
-"""What must always hold, as scenarios that return the promises broken.
+"""Scenarios that inject faults and return the violated invariants.
 
-Each scenario provokes the failures that threaten one promise.  The tests run
-each of them twice: as the product is, where nothing may be broken, and with
-one rule of the product broken on purpose, where the scenario must notice.
+The tests run each scenario twice: on the unmodified product, where it must
+report no violation, and with one rule of the product disabled, where it must
+report at least one.
 """
--- a/deckdrum/invariants/changes.py
+++ b/deckdrum/invariants/changes.py
@@ -1,4 +1,4 @@
-"""Promises about changes: none lost, none doubled, refusals true."""
+"""Invariants of writes: durability, at most once, correct refusals."""
 
 from random import Random
 from typing import Final
@@ -17,18 +17,18 @@
 
 _SERVICE: Final = 'stalls'
 _WRITERS: Final = 6
-_STEPS: Final = 10
-_PAUSE: Final = 0.02
-#: Moments of a write's life at which the primary is crashed, in seconds.
-_CRASH_TIMES_S: Final = tuple(step / 1000 for step in range(_STEPS))
-_PACE: Final = LoadProfile(pause=_PAUSE, reads_each=0)
+_CRASH_COUNT: Final = 10
+_WRITE_INTERVAL_S: Final = 0.02
+#: Times after the start of the writes at which the primary is crashed.
+_CRASH_TIMES_S: Final = tuple(step / 1000 for step in range(_CRASH_COUNT))
+_PACE: Final = LoadProfile(pause=_WRITE_INTERVAL_S, reads_each=0)
 
 
 async def check_acknowledged_writes() -> list[str]:
-    """Cut a primary off with its keeper while it still takes writes.
+    """Partition a primary and its keeper from the rest while callers write.
 
-    The other databases and proxies replace it; what it took afterwards must
-    not have been acknowledged.
+    The other databases and proxies promote a new primary; writes that the old
+    one accepts afterwards must not be acknowledged.
     """
     deployment = Deployment(Layout(services=(_SERVICE,)))
     await deployment.start()
@@ -37,20 +37,22 @@
     await load.start(_WRITERS)
     await curio.sleep(1)
     primary = deployment.find_primary(_SERVICE)
-    _cut_off(deployment, primary)
+    _partition_with_keeper(deployment, primary)
     await curio.sleep(6)
     primary.faults.cut_from.clear()
     await curio.sleep(2)
     history = await load.finish()
-    broken = history.check_rows(read_rows(deployment, _SERVICE))
+    violations = history.check_rows(read_rows(deployment, _SERVICE))
     if deployment.find_primary(_SERVICE) is primary:
-        broken.append('the cut-off primary was not replaced')
+        violations.append('the partitioned primary was not replaced')
     await deployment.close()
-    return broken
+    return violations
 
 
-def _cut_off(deployment: Deployment, primary: StandinDatabase) -> None:
-    """Leave a primary reachable by its keeper only."""
+def _partition_with_keeper(
+    deployment: Deployment, primary: StandinDatabase
+) -> None:
+    """Partition a primary from everything but its keeper."""
     keepers = [
         name
         for name, proxy in deployment.proxies.items()
@@ -62,23 +64,23 @@
 
 
 async def check_reported_outcomes() -> list[str]:
-    """Crash the primary at every moment of a write's life."""
-    broken: list[str] = []
-    for moment in _CRASH_TIMES_S:
-        broken.extend(await _crash_after(moment, is_once=False))
-    return broken
+    """Crash the primary at different times of a write."""
+    violations: list[str] = []
+    for crash_time in _CRASH_TIMES_S:
+        violations.extend(await _crash_after(crash_time, is_once=False))
+    return violations
 
 
 async def check_at_most_once() -> list[str]:
-    """Crash the primary under changes that must not be repeated."""
-    broken: list[str] = []
-    for moment in _CRASH_TIMES_S:
-        broken.extend(await _crash_after(moment, is_once=True))
-    return broken
+    """Crash the primary during writes that must not be retried."""
+    violations: list[str] = []
+    for crash_time in _CRASH_TIMES_S:
+        violations.extend(await _crash_after(crash_time, is_once=True))
+    return violations
 
 
 async def _crash_after(seconds: float, is_once: bool) -> list[str]:
-    """Crash the primary some time after writers began, and bring it back."""
+    """Crash the primary some time after the writes began, and restart it."""
     deployment = Deployment(Layout(services=(_SERVICE,)))
     await deployment.start()
     await create_table(deployment, _SERVICE)
@@ -94,9 +96,9 @@
         await curio.sleep(2)
         await primary.start()
         await curio.sleep(1)
-    broken = history.check_rows(read_rows(deployment, _SERVICE))
+    violations = history.check_rows(read_rows(deployment, _SERVICE))
     await deployment.close()
-    return [f'crash after {seconds:.3f} s: {each}' for each in broken]
+    return [f'crash after {seconds:.3f} s: {each}' for each in violations]
 
 
 async def _write(client: Client, number: int, history: History) -> None:
--- a/deckdrum/invariants/combinations.py
+++ b/deckdrum/invariants/combinations.py
@@ -1,4 +1,4 @@
-"""Faults one after the other and at one time, under one load."""
+"""Sequences of overlapping faults under load."""
 
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -15,88 +15,88 @@
 _SERVICE: Final = 'stalls'
 _PROXIES: Final = 4
 _CALLERS: Final = 4
-_PAUSE: Final = 0.05
-_PACE: Final = LoadProfile(pause=_PAUSE)
+_REQUEST_INTERVAL_S: Final = 0.05
+_PACE: Final = LoadProfile(pause=_REQUEST_INTERVAL_S)
 _RECOVERY_TIME_S: Final = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault, when it comes and how long it lasts, in seconds.
+    """A fault with its start and duration in seconds.
 
-    `place` chooses among the databases or proxies.
+    `target` is the index of the database or proxy, modulo their number.
     """
 
     kind: str
-    starts: float
-    lasts: float
-    place: int
+    start: float
+    duration: float
+    target: int
 
 
 def _pick_database(deployment: Deployment, fault: Fault) -> StandinDatabase:
     databases = deployment.list_databases(_SERVICE)
-    return databases[fault.place % len(databases)]
+    return databases[fault.target % len(databases)]
 
 
 async def crash(deployment: Deployment, fault: Fault) -> None:
-    """Crash a database, and start it again."""
+    """Crash a database and restart it."""
     database = _pick_database(deployment, fault)
     if database.running:
         await database.crash()
-        await curio.sleep(fault.lasts)
+        await curio.sleep(fault.duration)
         await database.start()
 
 
 async def pause(deployment: Deployment, fault: Fault) -> None:
-    """Pause a database."""
+    """Pause a database for some time."""
     faults = _pick_database(deployment, fault).faults
     faults.paused = True
-    await curio.sleep(fault.lasts)
+    await curio.sleep(fault.duration)
     faults.paused = False
 
 
-async def cut(deployment: Deployment, fault: Fault) -> None:
-    """Cut a database off from the others and from all proxies but one."""
+async def partition(deployment: Deployment, fault: Fault) -> None:
+    """Partition a database from the others and from all proxies but one."""
     database = _pick_database(deployment, fault)
     names = {each.name for each in deployment.list_databases(_SERVICE)}
     proxies = sorted(deployment.proxies)
-    kept = proxies[fault.place % len(proxies)]
-    away = (names - {database.name}) | (set(proxies) - {kept})
-    database.faults.cut_from |= away
-    await curio.sleep(fault.lasts)
-    database.faults.cut_from -= away
+    reachable_proxy = proxies[fault.target % len(proxies)]
+    unreachable = (names - {database.name}) | (set(proxies) - {reachable_proxy})
+    database.faults.cut_from |= unreachable
+    await curio.sleep(fault.duration)
+    database.faults.cut_from -= unreachable
 
 
 async def lose_platform(deployment: Deployment, fault: Fault) -> None:
-    """Take the platform away."""
+    """Make the platform unavailable for some time."""
     deployment.platform.faults.down = True
-    await curio.sleep(fault.lasts)
+    await curio.sleep(fault.duration)
     deployment.platform.faults.down = False
 
 
 async def lose_answers(deployment: Deployment, fault: Fault) -> None:
-    """Lose answers of the platform after changes took effect."""
-    deployment.platform.faults.lost_answers += 1 + fault.place
+    """Lose replies of the platform to changes that took effect."""
+    deployment.platform.faults.lost_answers += 1 + fault.target
 
 
 async def stop_proxy(deployment: Deployment, fault: Fault) -> None:
-    """Kill a proxy, and start another."""
+    """Stop a proxy and start another."""
     if len(deployment.proxies) < _PROXIES:
         return
     names = sorted(deployment.proxies)
-    proxy = deployment.proxies.pop(names[fault.place % len(names)])
+    proxy = deployment.proxies.pop(names[fault.target % len(names)])
     await proxy.close()
-    await curio.sleep(fault.lasts)
+    await curio.sleep(fault.duration)
     number = int(proxy.name[1:]) + _PROXIES
     await deployment.start_proxy(number)
 
 
-_Bring = Callable[[Deployment, Fault], Awaitable[None]]
-FAULT_INJECTORS: Final[Mapping[str, _Bring]] = MappingProxyType(
+_Injector = Callable[[Deployment, Fault], Awaitable[None]]
+FAULT_INJECTORS: Final[Mapping[str, _Injector]] = MappingProxyType(
     {
         'crash': crash,
         'pause': pause,
-        'cut': cut,
+        'cut': partition,
         'lose platform': lose_platform,
         'lose answers': lose_answers,
         'stop proxy': stop_proxy,
@@ -105,7 +105,7 @@
 
 
 async def run_faults(faults: Sequence[Fault]) -> list[str]:
-    """Bring the faults about under load; return the promises broken."""
+    """Inject faults under load; return the violated invariants."""
     layout = Layout(services=(_SERVICE,), proxies=_PROXIES)
     deployment = Deployment(layout)
     await deployment.start()
@@ -117,11 +117,11 @@
             await tasks.spawn(_inject_later, deployment, fault)
     await curio.sleep(_RECOVERY_TIME_S)
     history = await load.finish()
-    broken = history.check_rows(read_rows(deployment, _SERVICE))
+    violations = history.check_rows(read_rows(deployment, _SERVICE))
     await deployment.close()
-    return broken
+    return violations
 
 
 async def _inject_later(deployment: Deployment, fault: Fault) -> None:
-    await curio.sleep(fault.starts)
+    await curio.sleep(fault.start)
     await FAULT_INJECTORS[fault.kind](deployment, fault)
--- a/deckdrum/invariants/tests/test_combinations.py
+++ b/deckdrum/invariants/tests/test_combinations.py
@@ -1,4 +1,4 @@
-"""Any faults, together or twice: the same cases on every run."""
+"""Tests of invariants under combined faults, with deterministic cases."""
 
 import pytest
 from hypothesis import HealthCheck, example, given, settings
@@ -13,9 +13,9 @@
 FAULTS = st.builds(
     Fault,
     kind=st.sampled_from(sorted(FAULT_INJECTORS)),
-    starts=st.sampled_from([0, 0.3, 0.31, 0.9, 1.2, 2.0]),
-    lasts=st.sampled_from([0.05, 0.5, 1.5, 3.0]),
-    place=st.integers(0, 3),
+    start=st.sampled_from([0, 0.3, 0.31, 0.9, 1.2, 2.0]),
+    duration=st.sampled_from([0.05, 0.5, 1.5, 3.0]),
+    target=st.integers(0, 3),
 )
 
 
@@ -28,12 +28,12 @@
 @given(st.lists(FAULTS, min_size=1, max_size=4))
 @example([Fault('crash', 0, 3.0, 0), Fault('crash', 1.2, 1.5, 1)])
 @example([Fault('cut', 0, 3.0, 0), Fault('stop proxy', 0.9, 0.5, 1)])
-def test_no_promise_breaks(faults: list[Fault]) -> None:
+def test_no_invariant_is_violated(faults: list[Fault]) -> None:
     assert not run_virtual(run_faults, faults)
 
 
-def test_a_broken_rule_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_disabled_rule_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     acknowledge_without_replicas(monkeypatch)
-    # The first database is cut off with each of the proxies in turn.
-    cuts = [Fault('cut', 0.3, 3.0, place) for place in (9, 6, 3, 0)]
-    assert any(run_virtual(run_faults, [each]) for each in cuts)
+    # Partitions the first database with each of the proxies in turn.
+    cuts = [Fault('cut', 0.3, 3.0, target) for target in (9, 6, 3, 0)]
+    assert any(run_virtual(run_faults, [cut]) for cut in cuts)
--- a/deckdrum/invariants/tests/test_invariants.py
+++ b/deckdrum/invariants/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each promise of the brief, as it is and with one rule broken."""
+"""Tests of each invariant, unmodified and with one rule disabled."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -34,27 +34,29 @@
 
 
 @pytest.mark.parametrize('scenario', SCENARIOS, ids=lambda each: each.__name__)
-def test_promise_holds(scenario: Scenario) -> None:
+def test_invariant_holds(scenario: Scenario) -> None:
     assert not run_virtual(scenario)
 
 
 def ignore_min_positions(patch: pytest.MonkeyPatch) -> None:
-    """Break: reads take no account of what the session has seen."""
+    """Disable: reads return at least what the session has seen."""
     patch.setattr(Token, 'floor', lambda token, group: LOG_START)
 
 
 def release_inside_transactions(patch: pytest.MonkeyPatch) -> None:
-    """Break: a connection is given back in the middle of a transaction."""
-    let_go = KeeperSession._let_go
+    """Disable: a connection is kept until the end of a transaction."""
+    release_connection = KeeperSession._let_go
 
     async def release(session: Any, end: RelayResult) -> None:
-        await let_go(session, RelayResult('I', end.held, end.rejected))
+        await release_connection(
+            session, RelayResult('I', end.held, end.rejected)
+        )
 
     patch.setattr(KeeperSession, '_let_go', release)
 
 
 def reuse_unclean_connections(patch: pytest.MonkeyPatch) -> None:
-    """Break: a connection with an answer under way is lent again."""
+    """Disable: a connection with a pending answer is not reused."""
     release = Pool.release
 
     async def release_clean(
@@ -66,49 +68,51 @@
 
 
 def acknowledge_without_replicas(patch: pytest.MonkeyPatch) -> None:
-    """Break: the primary's own word is enough to acknowledge."""
+    """Disable: replicas confirm a write before it is acknowledged."""
 
-    async def trust(session: Any, route: Any, end: Any) -> Position | None:
+    async def confirm_from_primary(
+        session: Any, route: Any, end: Any
+    ) -> Position | None:
         watch = session._keeper.watch
         name = route.pool.database.name
         position: Position | None = await watch.fetch_applied(name, 3)
         return position
 
-    patch.setattr(KeeperSession, '_confirm', trust)
+    patch.setattr(KeeperSession, '_confirm', confirm_from_primary)
 
 
 def report_unknown_as_not_run(patch: pytest.MonkeyPatch) -> None:
-    """Break: an unknown outcome is told as not run."""
+    """Disable: an unknown outcome is reported as unknown."""
     for code in (Code.CONNECTION_LOST, Code.UNCONFIRMED):
         patch.setitem(CODES, code, CodeEntry(code, Fate.NOT_RUN, 'broken'))
 
 
 def retry_changes(patch: pytest.MonkeyPatch) -> None:
-    """Break: a change whose connection broke is sent again."""
+    """Disable: a write is not retried after its connection was lost."""
     attempt = KeeperSession._attempt
 
-    async def attempt_again(session: Any, tried: Any) -> Any:
+    async def attempt_again(session: Any, request: Any) -> Any:
         refuse = session._refuse
-        again: list[Any] = []
+        retried: list[Any] = []
 
-        async def hold_back(refusal: Any, lost: bool = False) -> None:
+        async def capture_unknown(refusal: Any, lost: bool = False) -> None:
             if refusal.fate is Fate.UNKNOWN:
-                again.append(tried)
+                retried.append(request)
             else:
                 await refuse(refusal, lost)
 
-        session._refuse = hold_back
+        session._refuse = capture_unknown
         try:
-            following = await attempt(session, tried)
+            next_request = await attempt(session, request)
         finally:
             session._refuse = refuse
-        return again[0] if again else following
+        return retried[0] if retried else next_request
 
     patch.setattr(KeeperSession, '_attempt', attempt_again)
 
 
 def read_from_leaving(patch: pytest.MonkeyPatch) -> None:
-    """Break: the list of leaving databases is ignored."""
+    """Disable: a leaving database receives no reads."""
     patch.setattr(
         Router,
         '_may_read',
@@ -117,7 +121,7 @@
 
 
 def close_without_draining(patch: pytest.MonkeyPatch) -> None:
-    """Break: a planned stop does not wait for transactions."""
+    """Disable: a planned stop waits for open transactions."""
 
     async def close_at_once(proxy: Proxy) -> bool:
         proxy.membership.is_leaving = True
@@ -128,11 +132,11 @@
 
 
 def accept_older_configurations(patch: pytest.MonkeyPatch) -> None:
-    """Break: an older configuration replaces a newer one."""
-    patch.setattr(StoreView, 'number', property(_read))
+    """Disable: an older configuration does not replace a newer one."""
+    patch.setattr(StoreView, 'number', property(_read_number))
 
 
-def _read(view: StoreView) -> int:
+def _read_number(view: StoreView) -> int:
     import sys
 
     caller = sys._getframe(1).f_code.co_name
@@ -141,7 +145,7 @@
     return view.configuration.number if view.configuration else 0
 
 
-BROKEN = (
+DISABLED_RULES = (
     (sessions.check_read_your_writes, ignore_min_positions),
     (sessions.check_transaction_isolation, release_inside_transactions),
     (sessions.check_answer_isolation, reuse_unclean_connections),
@@ -155,14 +159,14 @@
 
 
 @pytest.mark.parametrize(
-    ('scenario', 'break_rule'),
-    BROKEN,
-    ids=[rule.__name__ for _, rule in BROKEN],
+    ('scenario', 'disable_rule'),
+    DISABLED_RULES,
+    ids=[rule.__name__ for _, rule in DISABLED_RULES],
 )
-def test_broken_rule_is_noticed(
+def test_disabled_rule_is_detected(
     scenario: Scenario,
-    break_rule: Callable[[pytest.MonkeyPatch], None],
+    disable_rule: Callable[[pytest.MonkeyPatch], None],
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    break_rule(monkeypatch)
+    disable_rule(monkeypatch)
     assert run_virtual(scenario)
--- a/deckdrum/testing/__init__.py
+++ b/deckdrum/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Builders and harnesses for the tests of all subpackages."""
+"""Builders and harnesses shared by the tests of all subpackages."""
--- a/deckdrum/testing/aims.py
+++ b/deckdrum/testing/aims.py
@@ -1,12 +1,11 @@
-"""What users ask of the product, as tests check it; none of it is measured."""
+"""Service level objectives that tests check."""
 
 from typing import Final
 
-#: Longest time until a group takes changes again, in seconds: of the slowest
-#: of a hundred changes of primary, and of every change.
+#: Time without writes during a primary change: 99th percentile and maximum.
 WRITE_GAP_P99_S: Final = 4.0
 WRITE_GAP_MAX_S: Final = 16.0
-#: For how long a server that leaves serves on, in seconds.
+#: Time for which a draining server continues to serve.
 DRAIN_TIME_S: Final = 7.0
-#: Time after a disruption in which all is well again, in seconds.
+#: Time after the end of a fault until all requests succeed again.
 MAX_RECOVERY_TIME_S: Final = 4.0
--- a/deckdrum/testing/builders.py
+++ b/deckdrum/testing/builders.py
@@ -11,13 +11,13 @@
 
 
 def build_entry(name: str = 'stalls-1', **fields: Any) -> DatabaseEntry:
-    """Return a declared database."""
+    """Return the configuration entry of a database."""
     defaults = {'data_centre': 'ba-hall', 'address': '127.0.0.1:1'}
     return DatabaseEntry(name=name, **(defaults | fields))
 
 
 def build_state(**fields: Any) -> DatabaseState:
-    """Return the state of a replica that takes part in term 1."""
+    """Return the state of a replica that is fenced for term 1."""
     defaults: dict[str, Any] = {
         'role': Role.REPLICA,
         'term': 1,
@@ -30,7 +30,7 @@
 
 
 def build_document(**replaced: Any) -> dict[str, Any]:
-    """Return a plain valid document; `replaced` sections override it."""
+    """Return a valid configuration document with `replaced` sections."""
     entries = [
         {
             'name': f'stalls-{slot}',
@@ -55,7 +55,7 @@
 
 
 def build_platform_settings(**replaced: Any) -> bytes:
-    """Return a settings file of the platform; None takes a field out."""
+    """Return a platform settings file; fields that are None are omitted."""
     fields: dict[str, Any] = {
         'nodeName': 'n1',
         'ip': '10.1.0.8',
@@ -72,5 +72,7 @@
         'aNewField': {'with': ['anything']},
     }
     fields.update(replaced)
-    kept = {name: each for name, each in fields.items() if each is not None}
-    return json.dumps(kept).encode()
+    present_fields = {
+        name: each for name, each in fields.items() if each is not None
+    }
+    return json.dumps(present_fields).encode()
--- a/deckdrum/testing/golden.py
+++ b/deckdrum/testing/golden.py
@@ -1,4 +1,4 @@
-"""Whole sessions written down message by message, for golden files."""
+"""Transcripts of client sessions for golden files."""
 
 from collections.abc import Sequence
 from types import MappingProxyType
@@ -22,12 +22,12 @@
 
 
 class SessionRecorder:
-    """Plays a session against a deployment and writes it down.
+    """Runs client sessions against a deployment and records each message.
 
     Parameters
     ----------
     deployment : Deployment
-        Where callers connect.
+        The deployment to connect to.
     """
 
     def __init__(self, deployment: Deployment) -> None:
@@ -37,45 +37,45 @@
 
     @property
     def text(self) -> str:
-        """The session as text."""
+        """The transcript."""
         return '\n'.join((*self.lines, ''))
 
     async def connect(self, name: str, proxy: str, **options: str) -> None:
-        """Log a caller in."""
+        """Connect and log in a client."""
         client = await self._deployment.connect(proxy, **options)
         self._clients[name] = client
         shown = ' '.join(sorted(options))
         self.lines.append(f'{name} connects to {proxy} {shown}'.strip())
 
     async def reconnect(self, name: str, proxy: str, **options: str) -> None:
-        """Log a caller in at another proxy, with its session's token."""
+        """Connect a client to another proxy with its session token."""
         token = self._clients[name].token
         await self._clients[name].close()
         await self.connect(name, proxy, session=token, **options)
 
     async def query(self, name: str, text: str) -> None:
-        """Send a simple query and write the answer down."""
+        """Send a simple query and record the answer."""
         message = codec.Query(query_string=text).to_wire()
         await self.send(name, f'Query {text}', message)
 
     async def send_extended_query(
-        self, name: str, text: str, *bound: str
+        self, name: str, text: str, *bound_values: str
     ) -> None:
         """Send Parse, Bind, Describe, Execute and Sync."""
         parts = (
             codec.Parse(query=text).to_wire(),
             codec.Bind(
-                param_values=[each.encode() for each in bound]
+                param_values=[each.encode() for each in bound_values]
             ).to_wire(),
             codec.Describe(kind='P').to_wire(),
             codec.Execute().to_wire(),
             codec.Sync().to_wire(),
         )
-        shown = f'Parse/Bind/Describe/Execute/Sync {text} {bound}'
+        shown = f'Parse/Bind/Describe/Execute/Sync {text} {bound_values}'
         await self.send(name, shown, b''.join(parts))
 
     async def send(self, name: str, shown: str, payload: bytes) -> None:
-        """Send messages and write down what comes until ReadyForQuery."""
+        """Send messages and record the answers up to ReadyForQuery."""
         self.lines.append(f'{name} > {shown}')
         link = self._clients[name].link
         await link.send(payload)
@@ -90,7 +90,7 @@
 
 
 def describe_frame(frame: Frame) -> str:
-    """Return a message as one line, without what differs between runs."""
+    """Return a message as one line, without fields that vary between runs."""
     name = _NAMES.get(frame.tag)
     if name is not None:
         return name
@@ -99,10 +99,10 @@
         return f'ParameterStatus {message.name}'
     if frame.tag == tags.ERROR:
         fields = message.fields
-        told = ' '.join((fields['C'], fields['M'], fields.get('D', '')))
-        return f'ErrorResponse {told}'.strip()
+        error = ' '.join((fields['C'], fields['M'], fields.get('D', '')))
+        return f'ErrorResponse {error}'.strip()
     if frame.tag == tags.DATA_ROW:
-        return f'DataRow {_show_row(message.columns)}'
+        return f'DataRow {_format_row(message.columns)}'
     if frame.tag == b'T':
         names = ' '.join(column.name for column in message.fields)
         return f'RowDescription {names}'
@@ -111,7 +111,7 @@
     return f'ReadyForQuery {message.status}'
 
 
-def _show_row(columns: Sequence[bytes | None]) -> str:
+def _format_row(columns: Sequence[bytes | None]) -> str:
     shown = [
         'NULL' if column is None else bytes(column).decode()
         for column in columns
--- a/deckdrum/testing/limits.py
+++ b/deckdrum/testing/limits.py
@@ -1,4 +1,4 @@
-"""Many nodes that keep limits, without sockets, in virtual time."""
+"""Simulated nodes that enforce workspace limits, in virtual time."""
 
 import curio
 
@@ -16,13 +16,13 @@
 from deckdrum.utils.journal import open_null_journal
 from deckdrum.workspaces import Workspace, WorkspaceDirectory
 
-#: One way between two nodes, in seconds.
+#: Network delay between two nodes.
 ONE_WAY_DELAY_S = 0.0005
 CENTRES = ('ba-hall', 'tt-hall', 'nr-hall')
 
 
 def find_worst_window(times: list[float], window: float) -> int:
-    """Return the most operations that were begun in any window.
+    """Return the maximum number of operations in any time window.
 
     Examples
     --------
@@ -30,17 +30,17 @@
     4
     """
     ordered = sorted(times)
-    worst = 0
+    maximum = 0
     first = 0
-    for place, time in enumerate(ordered):
+    for last, time in enumerate(ordered):
         while time - ordered[first] >= window:
             first += 1
-        worst = max(worst, place - first + 1)
-    return worst
+        maximum = max(maximum, last - first + 1)
+    return maximum
 
 
 class FleetPeers(NodePeers):
-    """A node's way to the others of a `LimitFleet`."""
+    """Carries requests of one node to the others of a `LimitFleet`."""
 
     def __init__(self, fleet: 'LimitFleet', node: int) -> None:
         self._fleet = fleet
@@ -53,7 +53,7 @@
         question: Message,
         limit: float = 1,
     ) -> PeerAnswer:
-        """Ask a node of the fleet, or wait in vain for one that is cut off."""
+        """Call a node of the fleet; time out if it is unreachable."""
         other = address.port
         await curio.sleep(2 * ONE_WAY_DELAY_S)
         if other in self._fleet.dead:
@@ -74,7 +74,7 @@
 
     def __init__(self, fleet: 'LimitFleet', number: int) -> None:
         journal = open_null_journal('test')
-        # Nothing of the store is asked here.
+        # The store is not used.
         self.view = ControlView(None, journal)  # type: ignore[arg-type]
         peers = FleetPeers(fleet, number)
         name = f'n{number}'
@@ -90,7 +90,7 @@
 
 
 class LimitFleet:
-    """Nodes whose callers share the limit of one workspace.
+    """Simulated nodes that share the limit of one workspace.
 
     Parameters
     ----------
@@ -101,25 +101,26 @@
     """
 
     def __init__(self, count: int, workspace: Workspace) -> None:
-        #: Nodes whose processes do not run, and groups that reach only
-        #: themselves.
+        #: Nodes whose processes are stopped.
         self.dead: set[int] = set()
+        #: Sets of nodes that reach only each other.
         self.parts: list[set[int]] = []
-        #: When operations were begun, in kernel seconds, and how many were not.
+        #: Start times of operations, in seconds of the kernel's clock.
         self.begun: list[float] = []
+        #: Number of refused operations.
         self.refused = 0
         self.workspace = workspace
         self.nodes = [FleetNode(self, number) for number in range(count)]
         self._version = 0
 
     async def start(self) -> None:
-        """Let every node know the others and the limit."""
+        """Register the limit and all members on every node."""
         await self.limit(self.workspace)
         for node in self.nodes:
             await self.register_members(node)
 
     async def register_members(self, node: FleetNode) -> None:
-        """Let a node know the others."""
+        """Register all members on a node."""
         for number, _ in enumerate(self.nodes):
             centre = CENTRES[number % len(CENTRES)]
             member = Member(f'n{number}', f'127.0.0.1:{number}', centre, 'run')
@@ -128,17 +129,17 @@
         await node.counter.apply_members()
 
     async def limit(self, workspace: Workspace) -> None:
-        """Bring a limit into force on every node."""
+        """Apply a limit on every node."""
         self.workspace = workspace
         self._version += 1
-        book = WorkspaceDirectory({workspace.name: workspace}, {})
+        directory = WorkspaceDirectory({workspace.name: workspace}, {})
         for node in self.nodes:
             node.view.configuration = Configuration(
-                self._version, {}, {}, 3, b'', book
+                self._version, {}, {}, 3, b'', directory
             )
 
     async def restart(self, number: int) -> None:
-        """Begin a new life of a node."""
+        """Replace a node by a new incarnation."""
         node = FleetNode(self, number)
         node.view.configuration = self.nodes[number].view.configuration
         self.nodes[number] = node
@@ -146,11 +147,11 @@
         await self.register_members(node)
 
     def are_partitioned(self, one: int, other: int) -> bool:
-        """Tell whether two nodes do not reach each other."""
+        """Return whether two nodes cannot reach each other."""
         return any((one in part) != (other in part) for part in self.parts)
 
     async def send(self, number: int) -> Refusal | None:
-        """Let a caller of a node begin an operation."""
+        """Try to begin an operation on a node."""
         refusal = await self.nodes[number].limit_client.try_begin(
             self.workspace
         )
--- a/deckdrum/testing/nodes.py
+++ b/deckdrum/testing/nodes.py
@@ -1,4 +1,4 @@
-"""Whole deployments of nodes on the users' platform, in virtual time."""
+"""Deployments of nodes on the simulated platform, in virtual time."""
 
 import itertools
 import os
@@ -22,37 +22,34 @@
 from deckdrum.utils.journal import open_null_journal
 from deckdrum.utils.virtualtime import run_virtual
 
-#: Below the ports that the kernel gives by itself.
+#: Below the ephemeral ports of the kernel.
 _FIRST_PORT: Final = 10_000
-#: Values of one part of an address, but the last, which is never a host.
+#: Number of values used for one octet of an address.
 _OCTET_RANGE: Final = 250
 ZONES: Final = ('ba-hall', 'tt-hall', 'nr-hall')
 SERVICE: Final = 'stalls'
-#: Database names of the three kinds of route.
+#: Database names of the three kinds of routes.
 CURRENT: Final = 'db-current'
 BOUNDED: Final = 'db-bounded'
 OWN_WRITES: Final = 'db-own'
 BOUNDED_AGE_MS: Final = 1500
 OWN_WRITES_AGE_MS: Final = 2500
-#: Addresses of one process's own: other processes on the machine, such as
-#: tests beside this one, take ports of 127.0.0.1 at any moment.
+#: Each process uses a loopback address of its own, because other processes such
+#: as parallel tests may bind any port of 127.0.0.1.
 _HOST_OCTETS: Final = divmod(os.getpid() % _OCTET_RANGE**2, _OCTET_RANGE)
 _HOST: Final = f'127.1.{_HOST_OCTETS[0]}.{_HOST_OCTETS[1] + 1}'
 _PORTS: Final = itertools.count(_FIRST_PORT)
-#: Pause between two looks at a condition that is waited for, in seconds.
-_POLL: Final = 0.02
-#: Longer than a node needs to learn of the others, in seconds.
+_POLL_INTERVAL_S: Final = 0.02
+#: Time after which the nodes of a new deployment know each other.
 DISCOVERY_TIME_S: Final = 1.5
-#: Longest wait for a condition and for a whole answer, in seconds.
-#: Longest time of a caller that writes until it succeeds, in seconds.
 WRITE_TIMEOUT_S: Final = 8.0
-_WRITE_PAUSE: Final = 0.05
-_START_LIMIT: Final = 5.0
+_WRITE_RETRY_DELAY_S: Final = 0.05
+_CONDITION_TIMEOUT_S: Final = 5.0
 _REPLY_TIMEOUT_S: Final = 6.0
 
 
 def build_route(host: str, kind: str, **fields: Any) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
+    """Return a route of the operators' configuration."""
     defaults: dict[str, Any] = {
         'name': f'r-{host}',
         'host': host,
@@ -68,7 +65,7 @@
 
 
 def build_config(version: int = 1, **fields: Any) -> dict[str, Any]:
-    """Return a configuration as the operator writes it."""
+    """Return the operators' configuration."""
     defaults: dict[str, Any] = {
         'version': version,
         'routes': [
@@ -87,13 +84,13 @@
 
 
 def build_workspace(name: str, *keys: str, **fields: Any) -> dict[str, Any]:
-    """Return a workspace as the operator writes it, without a limit."""
+    """Return a workspace without a limit, as in the configuration."""
     return {'name': name, 'apiKeys': list(keys), 'priority': 1} | fields
 
 
 @dataclass(slots=True)
 class Reply:
-    """A whole answer: rows, the word and text of its end, and the state."""
+    """An answer: its rows, its final line and the transaction state."""
 
     rows: list[str] = field(default_factory=list)
     end: str = ''
@@ -102,17 +99,17 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether it is a success."""
+        """Whether the statement succeeded."""
         return self.end == 'COMPLETE'
 
 
 class LineClient:
-    """A client of the platform's protocol."""
+    """A client of the platform's line protocol."""
 
     def __init__(self, stream: Stream) -> None:
         self.stream = stream
         self._buffer = bytearray()
-        self._asked = 0
+        self._statement_count = 0
         #: The answer to the first message.
         self.greeting = Reply()
 
@@ -123,7 +120,7 @@
         database: str,
         key: str = 'test',
     ) -> 'LineClient':
-        """Open a session with a key."""
+        """Open a session with an API key."""
         client = cls(await dial(address, 1))
         await client.send(f'STARTUP {database} {key}')
         client.greeting = await client.read_reply()
@@ -134,13 +131,13 @@
         await self.stream.send(f'{line}\r\n'.encode())
 
     async def ask(self, text: str) -> Reply:
-        """Send a statement and return its whole answer."""
-        self._asked += 1
-        await self.send(f'QUERY {id(self):x}{self._asked:x} {text}')
+        """Send a statement and return its answer."""
+        self._statement_count += 1
+        await self.send(f'QUERY {id(self):x}{self._statement_count:x} {text}')
         return await self.read_reply()
 
     async def read_reply(self) -> Reply:
-        """Return the next whole answer; without a state at the end."""
+        """Return the next answer; its state is empty if the session ends."""
         reply = Reply()
         async with curio.timeout_after(_REPLY_TIMEOUT_S):
             while True:
@@ -157,14 +154,14 @@
                     reply.end = word
                     reply.text = rest
 
-    async def write_until_done(self, limit: float = WRITE_TIMEOUT_S) -> float:
-        """Write until it succeeds; return how long that took in seconds."""
-        began: float = await curio.clock()
-        async with curio.timeout_after(limit):
+    async def write_until_done(self, timeout: float = WRITE_TIMEOUT_S) -> float:
+        """Retry a write until it succeeds; return the elapsed seconds."""
+        start: float = await curio.clock()
+        async with curio.timeout_after(timeout):
             while not (await self.ask('WRITE a 1')).is_done:
-                await curio.sleep(_WRITE_PAUSE)
-        ended: float = await curio.clock()
-        return ended - began
+                await curio.sleep(_WRITE_RETRY_DELAY_S)
+        end: float = await curio.clock()
+        return end - start
 
     async def close(self) -> None:
         """Close the connection."""
@@ -173,7 +170,7 @@
 
 @dataclass(slots=True)
 class RunningNode:
-    """A node and the address where clients reach it."""
+    """A node with its frontend and its connection to the store."""
 
     node: Node
     frontend: Frontend
@@ -181,20 +178,20 @@
 
 
 class Deployment:
-    """Nodes, a store and one service of three databases.
+    """Nodes, a simulated store and one service with three databases.
 
     Parameters
     ----------
     nodes : int
         Number of nodes.
     settle : float
-        Time that the nodes get before the scenario begins, in seconds.
+        Time between the start of the nodes and the scenario, in seconds.
     centres : int
-        Data centres in which the nodes run.
+        Number of data centres in which the nodes run.
     logs : sequence of TextIO
-        Where the nodes log, in their order; the others log nowhere.
+        Log outputs of the first nodes; the logs of others are discarded.
     policies : frozenset of Policy
-        Mechanisms in force.
+        Mechanisms that are enabled.
     **group : object
         Fields of the `DatabaseGroup`.
     """
@@ -216,8 +213,8 @@
         self._centres = centres
         self._logs = dict(enumerate(logs))
         self._policies = policies
-        #: Databases that a node does not reach, by the node's number.
-        self._cuts: dict[int, set[str]] = {}
+        #: Databases that a node cannot reach, by the number of the node.
+        self._partitions: dict[int, set[str]] = {}
 
     async def __aenter__(self) -> Self:
         config = build_config()
@@ -247,14 +244,14 @@
         seeds: tuple[Address, ...] = (),
         lines: TextIO | None = None,
     ) -> RunningNode:
-        """Start a node, which logs to `lines` if they are given."""
+        """Start a node that logs to `lines`, if given."""
         name = f'n{number}'
-        door = await self.store.open_endpoint(name)
+        endpoint = await self.store.open_endpoint(name)
         counters = Counters()
         journal = (
             open_journal(name, lines) if lines else open_null_journal(name)
         )
-        store = PlatformStore(door, journal, counters)
+        store = PlatformStore(endpoint, journal, counters)
         settings = NodeSettings(
             name=name,
             data_centre=ZONES[number % self._centres],
@@ -278,7 +275,7 @@
         return RunningNode(node, frontend, store)
 
     async def stop_node(self, running: RunningNode) -> None:
-        """Stop a node as its process ends."""
+        """Stop a node."""
         await running.node.close()
         await running.frontend.close()
         await running.store.close()
@@ -290,7 +287,7 @@
         self.nodes.clear()
 
     async def start_nodes(self) -> None:
-        """Start as many nodes as at first, and wait until they are ready."""
+        """Start the initial number of nodes and wait until they are ready."""
         for number in range(self._count):
             self.nodes.append(await self.start_node(number))
         await self.wait_for(
@@ -298,7 +295,7 @@
         )
 
     async def configure(self, version: int, **fields: Any) -> None:
-        """Have a configuration come into force on every node."""
+        """Store a configuration and wait until every node has applied it."""
         config = build_config(version, **fields)
         config['services'][0]['maxConns'] = self.group.max_connections
         await self.store.write('config', 'main', config)
@@ -309,15 +306,15 @@
         )
 
     async def cut_off(self, number: int, server: str) -> None:
-        """Cut a node off from a database; what is open hangs."""
+        """Partition a node from a database and close its idle connections."""
         node = self.nodes[number].node
-        self._cuts.setdefault(number, set()).add(server)
+        self._partitions.setdefault(number, set()).add(server)
         handle = node.services[SERVICE].servers[server]
         await handle.pool.close_idle()
 
     async def heal_partition(self, number: int) -> None:
-        """End the cuts of a node."""
-        self._cuts.pop(number, None)
+        """Restore the connectivity of a node."""
+        self._partitions.pop(number, None)
 
     async def connect(
         self,
@@ -325,37 +322,40 @@
         node: int = 0,
         key: str = 'test',
     ) -> LineClient:
-        """Open a session at a node, with a key."""
+        """Open a session at a node with an API key."""
         address = self.nodes[node].frontend.address
         return await LineClient.connect(address, database, key)
 
     async def wait_for(
         self,
         check: Callable[[], bool],
-        limit: float = _START_LIMIT,
+        limit: float = _CONDITION_TIMEOUT_S,
     ) -> float:
-        """Wait until a check holds; return the time it took in seconds."""
-        began: float = await curio.clock()
+        """Wait until `check` returns true; return the elapsed seconds."""
+        start: float = await curio.clock()
         async with curio.timeout_after(limit):
             while not check():
-                await curio.sleep(_POLL)
-        ended: float = await curio.clock()
-        return ended - began
+                await curio.sleep(_POLL_INTERVAL_S)
+        end: float = await curio.clock()
+        return end - start
 
     async def _dial(
         self,
         number: int,
         address: Address,
-        limit: float,
+        timeout: float,
     ) -> Stream:
-        """Connect to a database, or wait in vain where the link is cut."""
+        """Connect to a database; time out if it is unreachable."""
         servers = [
-            self.group.servers[name] for name in self._cuts.get(number, ())
+            self.group.servers[name]
+            for name in self._partitions.get(number, ())
         ]
         if any(server.address == address for server in servers):
-            await curio.sleep(limit)
-            raise ConnectionAbortedError(f'node {number} is cut off')
-        return await dial(address, limit)
+            await curio.sleep(timeout)
+            raise ConnectionAbortedError(
+                f'node {number} is partitioned from the server'
+            )
+        return await dial(address, timeout)
 
     def _is_ready(self) -> bool:
         return all(
@@ -370,10 +370,10 @@
 
 
 def allocate_address() -> Address:
-    """Return an address that nobody else uses.
+    """Return an unused address.
 
-    The host is this process's own, and a port is given only once; ports that
-    the kernel gives to others lie above.
+    The host is unique to this process, each port is returned once, and all
+    ports are below the ephemeral ports of the kernel.
     """
     return Address(_HOST, next(_PORTS))
 
@@ -383,11 +383,11 @@
     nodes: int = 3,
     **group: Any,
 ) -> Any:
-    """Run a scenario on a fresh deployment in virtual time."""
-    return run_virtual(_play, scenario, Deployment(nodes, **group))
+    """Run a scenario on a new deployment in virtual time."""
+    return run_virtual(_run_scenario, scenario, Deployment(nodes, **group))
 
 
-async def _play(
+async def _run_scenario(
     scenario: Callable[[Deployment], Awaitable[Any]],
     deployment: Deployment,
 ) -> Any:
--- a/deckdrum/testing/pools.py
+++ b/deckdrum/testing/pools.py
@@ -1,16 +1,16 @@
-"""Pools of connections to servers that only count, for replays of loads."""
+"""Connection pools with stub connections, for simulated loads."""
 
 from deckdrum.backends import Lease, Pool, PooledLink
 from deckdrum.backends.pool import Connectable
 
 
 class StubLink(PooledLink):
-    """A connection that does nothing.
+    """A connection that only records whether it is open.
 
     Parameters
     ----------
     workspace : str
-        Whose it is.
+        The workspace that owns the connection.
     """
 
     def __init__(self, workspace: str) -> None:
@@ -28,18 +28,18 @@
 
 
 class StubServer(Connectable[StubLink]):
-    """A server that remembers every connection to it."""
+    """A server that records every connection to it."""
 
     def __init__(self) -> None:
         self.links: list[StubLink] = []
 
     @property
     def open(self) -> list[str]:
-        """Workspaces of the open connections, in the order of their opening."""
+        """Workspaces of the open connections, oldest connection first."""
         return [link.workspace for link in self.links if link.is_open]
 
     async def connect(self, limit: float) -> StubLink:
-        """Open a connection of nobody's."""
+        """Open a connection without a workspace."""
         return await self.connect_for('', limit)
 
     async def connect_for(
@@ -48,7 +48,7 @@
         limit: float,
         workspace: str | None = None,
     ) -> StubLink:
-        """Open a connection of a workspace."""
+        """Open a connection for a workspace."""
         link = StubLink(workspace or '')
         self.links.append(link)
         return link
@@ -59,5 +59,5 @@
 
 
 def build_pool(slots: int) -> CountedPool:
-    """Return a pool of a few connections to a server of its own."""
+    """Return a pool of at most `slots` connections to a new server."""
     return Pool(StubServer(), slots, {})
--- a/deckdrum/testing/threads.py
+++ b/deckdrum/testing/threads.py
@@ -1,4 +1,4 @@
-"""A deployment in a thread, in real time, for blocking drivers."""
+"""Deployments in a thread and in real time, for blocking drivers."""
 
 import threading
 from collections.abc import Iterator
@@ -9,16 +9,16 @@
 
 from deckdrum.bench.deployment import Deployment, Layout
 
-_START_LIMIT = 30
+_STARTUP_TIMEOUT_S = 30
 
 
 class DeploymentThread:
-    """Runs a deployment in a thread of its own.
+    """Runs a deployment in a separate thread.
 
     Parameters
     ----------
     layout : Layout
-        What to build.
+        Layout of the deployment.
     """
 
     def __init__(self, layout: Layout) -> None:
@@ -29,18 +29,18 @@
         self._thread = threading.Thread(target=curio.run, args=(self._main,))
 
     def start(self) -> None:
-        """Start, and wait until callers can be served."""
+        """Start the deployment and wait until it accepts connections."""
         self._thread.start()
-        if not self._ready.wait(_START_LIMIT):
-            raise RuntimeError('the deployment did not start')
+        if not self._ready.wait(_STARTUP_TIMEOUT_S):
+            raise RuntimeError('the deployment did not start in time')
 
     def stop(self) -> None:
-        """End everything."""
+        """Stop the deployment and its thread."""
         self._stop.set()
         self._thread.join()
 
     def port(self, proxy: str = 'p1') -> int:
-        """Return the port where a proxy's callers connect."""
+        """Return the client port of a proxy."""
         if self.deployment is None:
             raise RuntimeError('the deployment has not started')
         address = self.deployment.proxies[proxy].address
@@ -56,7 +56,7 @@
 
 @contextmanager
 def run_deployment(**sizes: Any) -> Iterator[DeploymentThread]:
-    """Run a deployment of the given layout in a thread."""
+    """Run a deployment with the given layout in a thread."""
     thread = DeploymentThread(Layout(**sizes))
     thread.start()
     try:
--- a/deckdrum/utils/counters.py
+++ b/deckdrum/utils/counters.py
@@ -1,7 +1,7 @@
 """Counters and histograms of a node, rendered by `prometheus_client`.
 
-The library is loaded with the first rendering: a node that nobody looks at
-does not pay its memory.
+`prometheus_client` is imported on the first scrape, which saves its memory on
+nodes whose metrics are never requested.
 """
 
 from bisect import bisect_left
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any, Final
 
-#: Upper bounds of the latency histogram, in seconds.
-LATENCY_BOUNDS: Final = (
+#: Upper bounds of the buckets of the latency histogram.
+LATENCY_BOUNDS_S: Final = (
     0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5,
 )  # fmt: skip
 _PREFIX: Final = 'deckdrum_node_'
@@ -21,7 +21,7 @@
 
 
 class Counters:
-    """What a node counts.
+    """Counters, gauges and latency histograms of a node.
 
     Examples
     --------
@@ -43,54 +43,56 @@
         self.served: Counter[tuple[str, str, str]] = Counter()
         self.store_calls: Counter[tuple[str, str, str]] = Counter()
         self.limited: Counter[tuple[str, str]] = Counter()
-        #: Statements by group, workspace and what became of them.
+        #: Statements by service, workspace and outcome.
         self.work: Counter[tuple[str, str, str]] = Counter()
-        #: Present values by name, read when they are rendered.
+        #: Functions that return the current value of each gauge.
         self.gauges: dict[str, Callable[[], float]] = {}
         self._latency: dict[tuple[str, str], list[int]] = {}
-        self._seconds: defaultdict[tuple[str, str], float] = defaultdict(float)
+        self._latency_sums: defaultdict[tuple[str, str], float] = defaultdict(
+            float
+        )
 
     def count(self, event: str) -> None:
         """Count one event."""
         self.events[event] += 1
 
     def count_served(self, database: str, kind: str, role: str) -> None:
-        """Count a statement that a server with a role has answered."""
+        """Count a statement by database, kind and role of the server."""
         self.served[database, kind, role] += 1
 
     def count_store_call(self, call: str, kind: str, outcome: str) -> None:
-        """Count a call to the store, which is paid for whatever its outcome.
+        """Count a call to the store; failed calls are billed too.
 
         Parameters
         ----------
         call : str
-            What was asked: list, watch, fetch, put or remove.
+            The operation: list, watch, fetch, put or remove.
         kind : str
-            Of which kind of record.
+            Kind of the records.
         outcome : str
-            Whether it was answered, refused or lost.
+            Whether the call was answered, refused or lost.
         """
         self.store_calls[call, kind, outcome] += 1
 
     def count_statement_outcome(
         self, service: str, workspace: str, outcome: str
     ) -> None:
-        """Count a caller's statement by what became of it."""
+        """Count a statement of a caller by its outcome."""
         self.work[service, workspace, outcome] += 1
 
     def describe_work(self) -> dict[str, int]:
-        """Return the statements so far, as they stand in logs."""
+        """Return the number of statements by label, as written to the log."""
         return {
             '/'.join(labels): number
             for labels, number in sorted(self.work.items())
         }
 
     def count_limited(self, workspace: str, code: str) -> None:
-        """Count an operation that a workspace's limit has turned away."""
+        """Count an operation rejected by the limit of its workspace."""
         self.limited[workspace, code] += 1
 
     def describe_store_calls(self) -> dict[str, int]:
-        """Return the calls to the store so far, as they stand in logs."""
+        """Return the number of store calls by label, as written to the log."""
         return {
             ' '.join(labels): number
             for labels, number in sorted(self.store_calls.items())
@@ -102,14 +104,14 @@
         outcome: str,
         seconds: float,
     ) -> None:
-        """Note how long a request took, by its guarantee and its outcome."""
+        """Add the duration of a request to the histogram of its labels."""
         key = (guarantee, outcome)
         buckets = self._latency.get(key)
         if buckets is None:
-            buckets = [0 for _ in (*LATENCY_BOUNDS, None)]
+            buckets = [0 for _ in (*LATENCY_BOUNDS_S, None)]
             self._latency[key] = buckets
-        buckets[bisect_left(LATENCY_BOUNDS, seconds)] += 1
-        self._seconds[key] += seconds
+        buckets[bisect_left(LATENCY_BOUNDS_S, seconds)] += 1
+        self._latency_sums[key] += seconds
 
     def collect(self) -> Iterator[Any]:
         """Yield the metrics as `prometheus_client` families."""
@@ -131,7 +133,7 @@
         return rendered
 
     def _collect_counters(self, core: Any) -> Iterator[Any]:
-        for name, told, labels, counter in (
+        for name, documentation, labels, counter in (
             ('events', 'Events by name', ('event',), self._label_events()),
             (
                 'served',
@@ -154,7 +156,7 @@
         ):
             family = core.CounterMetricFamily(
                 f'{_PREFIX}{name}',
-                told,
+                documentation,
                 labels=labels,
             )
             for values, number in counter.items():
@@ -170,12 +172,12 @@
             'Time from a whole request to its whole answer',
             labels=_LATENCY_LABELS,
         )
-        bounds = (*(str(bound) for bound in LATENCY_BOUNDS), '+Inf')
+        bounds = (*(str(bound) for bound in LATENCY_BOUNDS_S), '+Inf')
         for labels, buckets in self._latency.items():
             total = 0
             pairs = []
             for bound, number in zip(bounds, buckets, strict=True):
                 total += number
                 pairs.append((bound, total))
-            family.add_metric(labels, pairs, self._seconds[labels])
+            family.add_metric(labels, pairs, self._latency_sums[labels])
         return family
--- a/deckdrum/utils/http.py
+++ b/deckdrum/utils/http.py
@@ -11,8 +11,8 @@
 
 from deckdrum.utils.streams import Address, Listener, Stream, dial
 
-_TEXT: Final = 'text/plain; charset=utf-8'
-#: Largest body taken from a peer, in bytes (the platform holds 1 MB values).
+_TEXT_CONTENT_TYPE: Final = 'text/plain; charset=utf-8'
+#: Above the 1 MB that a value in the platform's store may have.
 MAX_BODY_BYTES: Final = 4 * 1024 * 1024
 
 
@@ -20,7 +20,8 @@
 class Request:
     """One HTTP request.
 
-    `headers` has lower-case names; `query` has the decoded parameters.
+    The names in `headers` are in lower case; `query` holds the decoded
+    parameters.
     """
 
     method: str
@@ -50,7 +51,7 @@
     @classmethod
     def from_text(cls, text: str, status: int = 200) -> 'Reply':
         """Return a reply with `text` as its body."""
-        return cls(status, text.encode(), {'content-type': _TEXT})
+        return cls(status, text.encode(), {'content-type': _TEXT_CONTENT_TYPE})
 
     def read_json(self) -> Any:
         """Return the decoded JSON body."""
@@ -58,43 +59,43 @@
 
 
 class HttpClient:
-    """Sends requests to one address over kept-alive connections.
+    """Sends requests to one address over persistent connections.
 
     Parameters
     ----------
     address : Address
         The server.
-    connect_limit : float
-        Longest wait for a connection, in seconds.
+    connect_timeout : float
+        Timeout for opening a connection, in seconds.
     """
 
-    def __init__(self, address: Address, connect_limit: float = 1.0) -> None:
+    def __init__(self, address: Address, connect_timeout: float = 1.0) -> None:
         self.address = address
-        self._connect_limit = connect_limit
+        self._connect_timeout = connect_timeout
         self._idle: list[tuple[Stream, h11.Connection]] = []
 
-    async def call(self, request: Request, limit: float) -> Reply:
+    async def call(self, request: Request, timeout: float) -> Reply:
         """Send a request and return its reply.
 
         Parameters
         ----------
         request : Request
-            The request; its query must already be part of `path`.
-        limit : float
-            Longest wait for the reply, in seconds.
+            The request; `path` must include the encoded query.
+        timeout : float
+            Timeout for the reply, in seconds.
 
         Raises
         ------
         ConnectionError
-            If the server cannot be reached or the reply does not come; the
-            request may have taken effect.
+            If the server is unreachable or does not reply in time; it may have
+            processed the request.
         """
-        stream, codec = await self._take()
+        stream, codec = await self._acquire()
         try:
-            async with curio.timeout_after(limit):
+            async with curio.timeout_after(timeout):
                 reply = await self._exchange(stream, codec, request)
         except (curio.TaskTimeout, h11.ProtocolError) as error:
-            # A reset drops what is on its way: it must not take effect late.
+            # Discards data in flight: the request must not be processed later.
             await stream.abort()
             raise ConnectionAbortedError(
                 f'no reply from {self.address}: {error!r}, {codec.states}',
@@ -102,25 +103,25 @@
         except (ConnectionError, curio.CancelledError):
             await stream.close()
             raise
-        await self._put(stream, codec)
+        await self._release(stream, codec)
         return reply
 
     async def close(self) -> None:
-        """Close the kept connections."""
+        """Close the idle connections."""
         for stream, _ in self._idle:
             await stream.close()
         self._idle.clear()
 
-    async def _take(self) -> tuple[Stream, h11.Connection]:
+    async def _acquire(self) -> tuple[Stream, h11.Connection]:
         while self._idle:
             stream, codec = self._idle.pop()
             if stream.is_quiet():
                 return stream, codec
             await stream.close()
-        stream = await dial(self.address, self._connect_limit)
+        stream = await dial(self.address, self._connect_timeout)
         return stream, h11.Connection(h11.CLIENT)
 
-    async def _put(self, stream: Stream, codec: h11.Connection) -> None:
+    async def _release(self, stream: Stream, codec: h11.Connection) -> None:
         try:
             codec.start_next_cycle()
         except h11.LocalProtocolError:
@@ -139,17 +140,17 @@
             'content-length': str(len(request.body)),
             **request.headers,
         }
-        head = h11.Request(
+        request_head = h11.Request(
             method=request.method,
             target=request.path,
             headers=list(headers.items()),
         )
-        payload = codec.send(head) or b''
+        payload = codec.send(request_head) or b''
         payload += codec.send(h11.Data(data=request.body)) or b''
         payload += codec.send(h11.EndOfMessage()) or b''
         await stream.send(payload)
-        answer, body = await _read_message(stream, codec)
-        return Reply(answer.status_code, body, _decode_headers(answer.headers))
+        head, body = await _read_message(stream, codec)
+        return Reply(head.status_code, body, _decode_headers(head.headers))
 
 
 class HttpServer:
@@ -159,30 +160,30 @@
     ----------
     address : Address
         Where to listen.
-    answer : callable
-        Coroutine function from `Request` to `Reply`; None drops the
-        connection without a reply.
+    respond : callable
+        Coroutine function that returns the `Reply` to a `Request`; None
+        closes the connection without a reply.
     """
 
     def __init__(
         self,
         address: Address,
-        answer: Callable[[Request], Awaitable[Reply | None]],
+        respond: Callable[[Request], Awaitable[Reply | None]],
     ) -> None:
-        self._answer = answer
+        self._respond = respond
         self._listener = Listener(address, self._serve)
 
     @property
     def address(self) -> Address:
-        """Where the server listens."""
+        """The address on which the server listens."""
         return self._listener.address
 
     async def start(self) -> None:
-        """Begin to listen."""
+        """Start listening."""
         await self._listener.start()
 
     async def close(self) -> None:
-        """Stop listening and end the connections."""
+        """Stop listening and close the open connections."""
         await self._listener.close()
 
     async def _serve(self, stream: Stream) -> None:
@@ -192,7 +193,7 @@
                 head, body = await _read_message(stream, codec)
             except (ConnectionError, h11.ProtocolError):
                 return
-            reply = await self._answer(_decode_request(head, body))
+            reply = await self._respond(_decode_request(head, body))
             if reply is None:
                 return
             await stream.send(_encode_reply(codec, reply))
@@ -248,7 +249,7 @@
 def _check_size(size: int) -> None:
     if size > MAX_BODY_BYTES:
         raise ConnectionAbortedError(
-            f'the body has over {size} bytes, expected {MAX_BODY_BYTES}',
+            f'HTTP body has {size} bytes or more, limit is {MAX_BODY_BYTES}',
         )
 
 
--- a/deckdrum/utils/journal.py
+++ b/deckdrum/utils/journal.py
@@ -1,8 +1,9 @@
-"""Structured logs: one JSON line for each decision or change of state.
+"""Structured logging: one JSON line for each event.
 
-Writing never waits: what the reader does not take at once is kept up to a
-bound and then dropped, and the drop is told.  Events that load can multiply
-have a budget of lines a second; what goes beyond it is counted and told.
+`NonBlockingStream` buffers what a slow reader does not accept and drops lines
+once its buffer is full.  Events whose number grows with the load are limited
+to a number of lines per second; the suppressed lines are counted and reported
+in a summary.
 """
 
 import logging
@@ -15,33 +16,37 @@
 
 from pythonjsonlogger.json import JsonFormatter
 
-#: Field names whose values are never written to a log.
+#: Fields whose values are redacted.
 SECRET_FIELDS = frozenset(('password', 'key', 'secret', 'token', 'verifier'))
-#: Lines of one event in one second, for events that load can multiply.
+#: Limit for each rate-limited event.
 MAX_LINES_PER_SECOND: Final = 10
-#: Time between two summaries of what was left out, in seconds.
+#: Minimum time between two summaries of suppressed lines.
 SUMMARY_INTERVAL_S: Final = 5.0
-#: Bytes kept for a reader that is slow.
 _MAX_BUFFERED_BYTES: Final = 65536
 _REDACTED = '(hidden)'
-# A timeout that ends a moment late is no event of ours.
+# Curio warns about timeouts that expire late, which is of no use to operators.
 logging.getLogger('curio.time').setLevel(logging.ERROR)
 
 
 class EventRateLimiter:
-    """Bounds the lines of each event.
+    """Limits the log lines of each event to a number per second.
 
     Parameters
     ----------
     read_clock : callable
         Returns the time in seconds.
+    lines : int
+        Maximum number of lines of one event per second.
 
     Examples
     --------
-    >>> budget = EventRateLimiter(lambda: 7.0, lines=1)
-    >>> budget.take('request.refused'), budget.take('request.refused')
+    >>> limiter = EventRateLimiter(lambda: 7.0, lines=1)
+    >>> (
+    ...     limiter.try_acquire('request.refused'),
+    ...     limiter.try_acquire('request.refused'),
+    ... )
     (True, False)
-    >>> budget.omitted
+    >>> limiter.suppressed
     Counter({'request.refused': 1})
     """
 
@@ -50,120 +55,124 @@
         read_clock: Callable[[], float] = time.monotonic,
         lines: int = MAX_LINES_PER_SECOND,
     ) -> None:
-        #: Lines left out since the last summary, by event.
-        self.omitted: Counter[str] = Counter()
+        #: Number of lines suppressed since the last summary, by event.
+        self.suppressed: Counter[str] = Counter()
         self._read_clock = read_clock
         self._lines = lines
-        self._second = float('-inf')
-        self._written: Counter[str] = Counter()
-        self._told_at = read_clock()
+        self._window_start = float('-inf')
+        self._line_counts: Counter[str] = Counter()
+        self._last_summary_at = read_clock()
 
-    def take(self, event: str) -> bool:
-        """Tell whether a line of `event` may be written now."""
+    def try_acquire(self, event: str) -> bool:
+        """Return whether a line of `event` may be written now, and count it."""
         now = self._read_clock()
-        if now - self._second >= 1:
-            self._second = now
-            self._written.clear()
-        if self._written[event] >= self._lines:
-            self.omitted[event] += 1
+        if now - self._window_start >= 1:
+            self._window_start = now
+            self._line_counts.clear()
+        if self._line_counts[event] >= self._lines:
+            self.suppressed[event] += 1
             return False
-        self._written[event] += 1
+        self._line_counts[event] += 1
         return True
 
     def pop_summary(self) -> dict[str, int]:
-        """Return what was left out, if it is time to tell."""
+        """Return and reset the suppressed lines if a summary is due."""
         now = self._read_clock()
-        if not self.omitted or now - self._told_at < SUMMARY_INTERVAL_S:
+        if (
+            not self.suppressed
+            or now - self._last_summary_at < SUMMARY_INTERVAL_S
+        ):
             return {}
-        self._told_at = now
-        omitted = dict(self.omitted)
-        self.omitted.clear()
-        return omitted
+        self._last_summary_at = now
+        suppressed = dict(self.suppressed)
+        self.suppressed.clear()
+        return suppressed
 
 
 class NonBlockingStream:
-    """A text stream over a descriptor that never waits for its reader.
+    """A text stream that buffers instead of blocking on a slow reader.
 
     Parameters
     ----------
     descriptor : int
-        Where to write.
+        The file descriptor, which is made non-blocking.
     """
 
     def __init__(self, descriptor: int) -> None:
-        #: Lines dropped because the reader was too slow.
+        #: Number of lines dropped because the buffer was full.
         self.dropped = 0
         self._descriptor = descriptor
-        self._waiting = bytearray()
+        self._buffer = bytearray()
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write text, now or when the reader has room again."""
+        """Append text to the buffer, or drop it if the buffer is full."""
         encoded = text.encode()
-        if len(self._waiting) + len(encoded) > _MAX_BUFFERED_BYTES:
+        if len(self._buffer) + len(encoded) > _MAX_BUFFERED_BYTES:
             self.dropped += 1
             return 0
-        self._waiting.extend(encoded)
+        self._buffer.extend(encoded)
         return len(text)
 
     def flush(self) -> None:
-        """Hand the reader what it takes now."""
-        while self._waiting:
+        """Write as much of the buffer as the descriptor accepts."""
+        while self._buffer:
             try:
-                written = os.write(self._descriptor, self._waiting)
+                written = os.write(self._descriptor, self._buffer)
             except BlockingIOError:
-                # The next line tries again.
+                # The rest is written with the next line.
                 return
-            del self._waiting[:written]
+            del self._buffer[:written]
 
 
 class Journal:
-    """Writes events of one process as JSON lines.
+    """Logs the events of one process as JSON lines.
 
     Parameters
     ----------
     logger : logging.Logger
-        Where the lines go.
+        The logger that writes the lines.
     source : str
-        Name of the process, added to each line.
-    budget : LineBudget, optional
-        Bounds the events that load can multiply.
+        Name of the process, included in each line.
+    limiter : EventRateLimiter, optional
+        Limits the events logged by `record_rate_limited`.
     """
 
     def __init__(
         self,
         logger: logging.Logger,
         source: str,
-        budget: EventRateLimiter | None = None,
+        limiter: EventRateLimiter | None = None,
     ) -> None:
         self._logger = logger
         self._source = source
-        self._budget = budget or EventRateLimiter()
+        self._limiter = limiter or EventRateLimiter()
 
     def record(self, event: str, **fields: Any) -> None:
-        """Write one change of state.
+        """Log an event.
 
         Parameters
         ----------
         event : str
             Name of the event, such as ``failover.promoted``.
         **fields : object
-            What belongs to it; values of secret fields are hidden.
+            Fields of the event; the values of secret fields are redacted.
         """
         shown = {
             name: _REDACTED if name in SECRET_FIELDS else field
             for name, field in fields.items()
         }
-        # As one mapping: names such as "name" would clash as extra fields.
+        # Passed as the message, since keys such as "name" are not allowed in
+        # `extra`.
         self._logger.info({'event': event, 'source': self._source, **shown})
 
     def record_rate_limited(self, event: str, **fields: Any) -> None:
-        """Write an event that load can multiply, within its budget."""
-        if self._budget.take(event):
+        """Log an event unless its limit of lines per second is reached."""
+        if self._limiter.try_acquire(event):
             self.record(event, **fields)
-        omitted = self._budget.pop_summary()
-        if omitted:
-            self.record('log.omitted', lines=omitted)
+        suppressed = self._limiter.pop_summary()
+        if suppressed:
+            self.record('log.omitted', lines=suppressed)
 
 
 def open_journal(source: str, stream: TextIO | None = None) -> Journal:
@@ -174,7 +183,7 @@
     source : str
         Name of the process.
     stream : file, optional
-        Where to write; standard error by default.
+        The output; standard error by default.
 
     Examples
     --------
@@ -190,25 +199,25 @@
 
 
 def open_nonblocking_journal(source: str, descriptor: int) -> Journal:
-    """Return a journal that writes to a descriptor and never waits."""
-    sink = logging.StreamHandler(NonBlockingStream(descriptor))
-    return _build_journal(source, sink)
+    """Return a journal that writes to a descriptor without blocking."""
+    log_handler = logging.StreamHandler(NonBlockingStream(descriptor))
+    return _build_journal(source, log_handler)
 
 
 def open_null_journal(source: str) -> Journal:
-    """Return a journal that writes nothing, for tests and experiments."""
+    """Return a journal that discards all events."""
     logger = logging.Logger(f'deckdrum.{source}', logging.CRITICAL)
     logger.addHandler(logging.NullHandler())
     return Journal(logger, source)
 
 
-def _build_journal(source: str, sink: logging.Handler) -> Journal:
-    sink.setFormatter(
+def _build_journal(source: str, log_handler: logging.Handler) -> Journal:
+    log_handler.setFormatter(
         JsonFormatter(
             '%(asctime)s',
             rename_fields={'asctime': 'time'},
         ),
     )
     logger = logging.Logger(f'deckdrum.{source}', logging.INFO)
-    logger.addHandler(sink)
+    logger.addHandler(log_handler)
     return Journal(logger, source)
--- a/deckdrum/utils/metrics.py
+++ b/deckdrum/utils/metrics.py
@@ -1,15 +1,15 @@
-"""Counters and gauges of one proxy, by `prometheus_client`."""
+"""Prometheus metrics of a proxy."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 from prometheus_client.exposition import generate_latest
 
-_LATENCY_BUCKETS = (
+_LATENCY_BUCKETS_S = (
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10,
 )  # fmt: skip
 
 
 class Metrics:
-    """All metrics of a proxy, in a registry of its own.
+    """The metrics of a proxy, in a registry of their own.
 
     Examples
     --------
@@ -31,7 +31,7 @@
             'deckdrum_batch_seconds',
             'Time from a whole batch to its whole answer',
             ('service', 'group', 'access'),
-            buckets=_LATENCY_BUCKETS,
+            buckets=_LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self.events = Counter(
@@ -63,7 +63,7 @@
         self.events.labels(event).inc()
 
     def read_event(self, event: str) -> int:
-        """Return how often an event was counted."""
+        """Return the number of occurrences of an event."""
         found = self.registry.get_sample_value(
             'deckdrum_events_total',
             {'event': event},
@@ -71,7 +71,7 @@
         return int(found or 0)
 
     def read_batches(self, **labels: str) -> int:
-        """Return the batches counted under the given labels."""
+        """Return the number of batches that have all the given labels."""
         total: float = 0
         for family in self.batches.collect():
             for sample in family.samples:
--- a/deckdrum/utils/ranks.py
+++ b/deckdrum/utils/ranks.py
@@ -1,17 +1,17 @@
-"""Ranks of nodes and servers that are the same on every node."""
+"""Rendezvous hashing: orders that are the same on every node."""
 
 import hashlib
 from functools import lru_cache
 from typing import Final
 
-#: Ranks that are remembered: those of 195 nodes for ten groups four times over.
-#: Without, each change of one node would have all of them hashed anew.
+#: Holds the ranks of 195 nodes for ten services several times over, so that a
+#: change of one node does not recompute the others.
 _CACHE_SIZE: Final = 8192
 
 
 @lru_cache(maxsize=_CACHE_SIZE)
 def compute_rendezvous_rank(*parts: str) -> bytes:
-    """Return a place by rendezvous hashing.
+    """Return a hash of `parts`, by which candidates are ordered.
 
     Examples
     --------
--- a/deckdrum/utils/streams.py
+++ b/deckdrum/utils/streams.py
@@ -10,15 +10,15 @@
 
 import curio
 
-#: Bytes asked of the kernel in one receive.
+#: Buffer size of one receive call.
 RECEIVE_BYTES: Final = 65536
 _BACKLOG: Final = 512
-#: Bytes without an acknowledgement end a connection after this time, in ms;
-#: as long as the databases wait for a far end that is dark.
+#: Time after which a connection with unacknowledged data is closed; the same as
+#: the timeout of the database servers.
 TCP_USER_TIMEOUT_MS: Final = 3000
-#: Silence after which the kernel asks the far end, in seconds.
+#: Idle time before the first keepalive probe, and interval between probes.
 KEEPALIVE_IDLE_S: Final = 5
-#: Wait after a failed accept (descriptors used up), in seconds.
+#: Delay after a failed accept, for instance without free descriptors.
 _ACCEPT_RETRY_DELAY_S: Final = 0.05
 
 
@@ -42,25 +42,25 @@
 
     @classmethod
     def parse(cls, text: str) -> 'Address':
-        """Read an address of the form ``host:port``.
+        """Parse an address of the form ``host:port``.
 
         Raises
         ------
         ValueError
-            If `text` has no port or the port is no number.
+            If the host or the port is missing, or the port is not a number.
         """
         host, colon, port = text.rpartition(':')
         if not colon or not host or not port.isdecimal():
-            raise ValueError(f'{text!r} is no address, expected host:port')
+            raise ValueError(f'{text!r} is not an address, expected host:port')
         return cls(host, int(port))
 
 
 class ByteStream(ABC):
-    """A two-way sequence of bytes."""
+    """A bidirectional byte stream."""
 
     @abstractmethod
     def is_quiet(self) -> bool:
-        """Tell whether the stream is open and has nothing to receive."""
+        """Return whether the stream is open and has no data to receive."""
 
     @abstractmethod
     async def receive(self) -> bytes:
@@ -78,18 +78,18 @@
 
     @abstractmethod
     async def close(self) -> None:
-        """Close the stream; a second call does nothing."""
+        """Close the stream; does nothing if it is closed already."""
 
 
 class Stream(ByteStream):
-    """One TCP connection.
+    """A TCP connection.
 
     Parameters
     ----------
     sock : curio.io.Socket
         The connected socket.
     raw : socket.socket
-        The non-blocking socket below it.
+        The non-blocking socket that `sock` wraps.
     """
 
     __slots__ = ('_raw', '_sock', 'closed')
@@ -100,7 +100,7 @@
         self.closed = False
 
     def is_quiet(self) -> bool:
-        """Tell whether the stream is open and has nothing to receive."""
+        """Return whether the stream is open and has no data to receive."""
         if self.closed:
             return False
         try:
@@ -114,8 +114,8 @@
     async def receive(self) -> bytes:
         """Return the next bytes, or ``b''`` once the peer has closed.
 
-        A reset by the peer counts as a close, and what comes while the stream
-        is closed here is dropped.
+        A reset by the peer is treated as a close.  Data that arrives while the
+        stream is being closed locally is dropped.
         """
         if self.closed:
             return b''
@@ -123,8 +123,8 @@
             chunk: bytes = await self._sock.recv(RECEIVE_BYTES)
         except OSError:
             return b''
-        # What arrived while the stream was being closed gets no answer any
-        # more: a statement among it must not be run.
+        # A statement that arrived during the close cannot be answered any more
+        # and must not be executed.
         return b'' if self.closed else chunk
 
     async def send(self, payload: bytes) -> None:
@@ -145,40 +145,40 @@
             raise ConnectionResetError(str(error)) from error
 
     async def close(self) -> None:
-        """Close the connection; a second call does nothing."""
+        """Close the connection; does nothing if it is closed already."""
         if self.closed:
             return
         self.closed = True
         try:
-            # Wakes a task of ours that still waits on the socket.
+            # Wakes tasks that wait for data on this socket.
             await self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # Not connected any more: whoever waits is woken by that.
+            # Already disconnected, which wakes the waiting tasks.
             await curio.sleep(0)
         await self._wait_until_unwatched()
         await self._sock.close()
 
     async def abort(self) -> None:
-        """Reset the connection: bytes still on their way are dropped."""
+        """Reset the connection and discard data in flight."""
         if not self.closed:
             linger = struct.pack('ii', 1, 0)
             self._raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             self.closed = True
             try:
-                # Wakes a task of ours that waits on the socket; sends nothing.
+                # Wakes tasks that wait for data, without sending a FIN.
                 await self._sock.shutdown(socket.SHUT_RD)
             except OSError:
-                # Not connected any more: whoever waits is woken by that.
+                # Already disconnected, which wakes the waiting tasks.
                 await curio.sleep(0)
             await self._wait_until_unwatched()
             await self._sock.close()
 
     async def _wait_until_unwatched(self) -> None:
-        """Let tasks that wait on the socket leave it before it is closed.
+        """Wait until the curio kernel has unregistered the descriptor.
 
-        The kernel's selector must not keep a closed descriptor: the next
-        socket with the same number would stop the whole process.  A task
-        that has been woken and has not run yet keeps it too.
+        A closed descriptor that is still registered with the selector crashes
+        the kernel when a new socket gets the same number.  It also stays
+        registered until a task that has been woken has run.
         """
         kernel = await curio.traps._get_kernel()
         watched = kernel._selector.get_map()
@@ -186,15 +186,15 @@
             await curio.sleep(0)
 
 
-async def dial(address: Address, limit: float) -> Stream:
+async def dial(address: Address, timeout: float) -> Stream:
     """Open a connection.
 
     Parameters
     ----------
     address : Address
-        Where to connect.
-    limit : float
-        Longest wait in seconds.
+        The address of the peer.
+    timeout : float
+        Timeout in seconds.
 
     Returns
     -------
@@ -204,18 +204,17 @@
     Raises
     ------
     ConnectionRefusedError
-        If nobody listens there.
+        If nothing listens on the address.
     ConnectionAbortedError
-        If nobody answers in time, or the address cannot be reached.
+        If the attempt times out or the address is unreachable.
     """
     raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     _set_socket_options(raw)
     sock = curio.io.Socket(raw)
     try:
-        async with curio.timeout_after(limit):
+        async with curio.timeout_after(timeout):
             await sock.connect((address.host, address.port))
     except ConnectionRefusedError:
-        # Certain: nobody listens there now.
         await sock.close()
         raise
     except (OSError, curio.TaskTimeout) as error:
@@ -231,7 +230,7 @@
 
 
 def _set_socket_options(raw: socket.socket) -> None:
-    """Send at once, and notice a peer that is gone without a word."""
+    """Disable Nagle's algorithm and detect peers that vanish silently."""
     raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     raw.setsockopt(
         socket.IPPROTO_TCP,
@@ -244,14 +243,14 @@
 
 
 class Listener:
-    """A listening TCP socket with one task for each connection.
+    """A listening TCP socket that runs one task for each connection.
 
     Parameters
     ----------
     address : Address
-        Where to listen; port 0 takes a free one.
+        Where to listen; port 0 selects a free port.
     serve : callable
-        Coroutine function called with the `Stream` of each connection.
+        Coroutine function that handles the `Stream` of a connection.
     """
 
     def __init__(
@@ -263,15 +262,15 @@
         self._serve = serve
         self._sock: Any = None
         self._accept_task: Any = None
-        self._open: dict[Stream, Any] = {}
+        self._connection_tasks: dict[Stream, Any] = {}
 
     @property
     def connections(self) -> int:
         """Number of open connections."""
-        return len(self._open)
+        return len(self._connection_tasks)
 
     async def start(self) -> None:
-        """Bind the address and begin to accept."""
+        """Bind the address and start accepting connections."""
         raw = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         raw.bind((self.address.host, self.address.port))
@@ -281,7 +280,7 @@
         self._accept_task = await curio.spawn(self._accept, daemon=True)
 
     async def stop_accepting(self) -> None:
-        """Refuse new connections; open ones go on."""
+        """Stop accepting connections; open ones continue."""
         if self._sock is None:
             return
         await self._accept_task.cancel()
@@ -289,9 +288,9 @@
         self._sock = None
 
     async def close(self) -> None:
-        """Refuse new connections and end the open ones."""
+        """Stop accepting connections and close the open ones."""
         await self.stop_accepting()
-        for stream, task in list(self._open.items()):
+        for stream, task in list(self._connection_tasks.items()):
             await stream.close()
             await task.cancel(blocking=False)
 
@@ -305,7 +304,7 @@
             _set_socket_options(sock._socket)
             stream = Stream(sock, sock._socket)
             task = await curio.spawn(self._run, stream, daemon=True)
-            self._open[stream] = task
+            self._connection_tasks[stream] = task
 
     async def _run(self, stream: Stream) -> None:
         try:
@@ -313,5 +312,5 @@
         except ConnectionError:
             return
         finally:
-            self._open.pop(stream, None)
+            self._connection_tasks.pop(stream, None)
             await stream.close()
--- a/deckdrum/utils/tasks.py
+++ b/deckdrum/utils/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run as long as their process."""
+"""Restarting failed tasks, and sharing the result of a call."""
 
 import traceback
 from collections.abc import Awaitable, Callable
@@ -8,9 +8,8 @@
 
 from deckdrum.utils.journal import Journal
 
-#: Pause before a task that failed is begun again, in seconds.
 RESTART_DELAY_S: Final = 0.2
-#: Characters of a traceback that the log keeps, from its end.
+#: Longer tracebacks are truncated at their start.
 _MAX_TRACEBACK_CHARACTERS: Final = 1500
 
 
@@ -19,18 +18,19 @@
     work: Callable[..., Awaitable[Any]],
     *arguments: Any,
 ) -> None:
-    """Run a task for ever; one that fails is logged and begun again.
+    """Run a task, and log and restart it whenever it fails.
 
-    A defect in one part must not silently end it while the others go on.
+    Keeps an unexpected exception from silently ending a background task while
+    the rest of the process continues.
 
     Parameters
     ----------
     journal : Journal
-        Told of each failure, with its traceback.
+        Log to which each failure is written, with its traceback.
     work : callable
-        The coroutine function; its return ends the task.
+        The coroutine function; the task ends when it returns.
     *arguments : object
-        Its arguments.
+        Arguments of `work`.
     """
     while True:
         try:
@@ -48,12 +48,12 @@
 
 
 class SharedCall:
-    """A call whose result serves all who want it at the same time.
+    """Merges concurrent calls into one and shares its result.
 
     Parameters
     ----------
     call : callable
-        What is called, without arguments.
+        Coroutine function without arguments.
     """
 
     def __init__(self, call: Callable[[], Awaitable[Any]]) -> None:
@@ -61,7 +61,7 @@
         self._task: Any = None
 
     async def get(self) -> Any:
-        """Return the result of a call that ends after now."""
+        """Return the result of the running call, or of a new one."""
         if self._task is None or self._task.terminated:
             self._task = await curio.spawn(self._call, daemon=True)
         task = self._task
--- a/deckdrum/utils/tests/test_journal.py
+++ b/deckdrum/utils/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Logs: bounded in volume, and never in the way."""
+"""Tests of structured logging: rate limits and slow readers."""
 
 import io
 import json
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """A clock that a test sets."""
+    """A clock set by the test."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -29,37 +29,37 @@
     return [json.loads(line) for line in lines.getvalue().splitlines()]
 
 
-def _open(clock: Clock) -> tuple[Journal, io.StringIO]:
+def _open_limited(clock: Clock) -> tuple[Journal, io.StringIO]:
     lines = io.StringIO()
     journal = open_journal('n1', lines)
-    journal._budget = EventRateLimiter(clock.read)
+    journal._limiter = EventRateLimiter(clock.read)
     return journal, lines
 
 
-def test_volume_is_bounded_and_the_rest_is_told() -> None:
+def test_rate_limit_and_summary_of_suppressed_lines() -> None:
     clock = Clock()
-    journal, lines = _open(clock)
+    journal, lines = _open_limited(clock)
     for number in range(1000):
         clock.now += 0.001
         journal.record_rate_limited('request.refused', request=str(number))
     assert len(_read_events(lines)) <= 2 * MAX_LINES_PER_SECOND
     clock.now += SUMMARY_INTERVAL_S
     journal.record_rate_limited('request.refused', request='last')
-    told = _read_events(lines)[-1]
-    assert told['event'] == 'log.omitted'
-    assert told['lines'] == {'request.refused': 1000 - MAX_LINES_PER_SECOND}
+    summary = _read_events(lines)[-1]
+    assert summary['event'] == 'log.omitted'
+    assert summary['lines'] == {'request.refused': 1000 - MAX_LINES_PER_SECOND}
 
 
-def test_one_event_does_not_use_up_the_lines_of_another() -> None:
+def test_rate_limit_is_separate_for_each_event() -> None:
     clock = Clock()
-    journal, lines = _open(clock)
+    journal, lines = _open_limited(clock)
     for _ in range(100):
         journal.record_rate_limited('request.served')
     journal.record_rate_limited('request.refused')
     assert _read_events(lines)[-1]['event'] == 'request.refused'
 
 
-def test_reader_that_does_not_read_stops_nobody() -> None:
+def test_writing_does_not_block_on_a_stalled_reader() -> None:
     receiving, sending = os.pipe()
     journal = open_nonblocking_journal('n1', sending)
     for _ in range(20_000):
@@ -71,7 +71,7 @@
     os.close(sending)
 
 
-def test_any_field_name_can_be_written() -> None:
+def test_field_names_of_log_records_are_allowed() -> None:
     lines = io.StringIO()
     journal = open_journal('n1', lines)
     journal.record('server.removed', name='i-1', message='gone', args=(1,))
--- a/deckdrum/utils/tests/test_streams.py
+++ b/deckdrum/utils/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Closing a stream must never leave its descriptor in the selector."""
+"""Tests that closing a stream unregisters its descriptor."""
 
 import curio
 
@@ -11,38 +11,38 @@
         await stream.send(chunk)
 
 
-async def _wait_for_bytes(stream: Stream) -> bytes:
+async def _receive(stream: Stream) -> bytes:
     return await stream.receive()
 
 
-def test_closing_while_another_task_waits() -> None:
+def test_close_while_another_task_receives() -> None:
     async def main() -> list[bytes]:
         listener = Listener(Address('127.0.0.1', 0), _echo)
         await listener.start()
-        found = []
+        received = []
         for _ in range(20):
             stream = await dial(listener.address, 1)
-            waiting = await curio.spawn(_wait_for_bytes, stream)
+            receiver = await curio.spawn(_receive, stream)
             await curio.sleep(0)
             await stream.close()
-            # The next socket takes the same descriptor at once.
+            # The next socket reuses the same descriptor.
             other = await dial(listener.address, 1)
             await other.send(b'x')
-            found.append(await other.receive())
-            assert await waiting.join() == b''
+            received.append(await other.receive())
+            assert await receiver.join() == b''
             await other.close()
         await listener.close()
-        return found
+        return received
 
     assert set(run_virtual(main)) == {b'x'}
 
 
-def test_closing_while_a_woken_task_has_not_run() -> None:
+def test_close_before_a_woken_task_has_run() -> None:
     async def main() -> bytes:
         listener = Listener(Address('127.0.0.1', 0), _echo)
         await listener.start()
         stream = await dial(listener.address, 1)
-        waiting = await curio.spawn(_wait_for_bytes, stream)
+        receiver = await curio.spawn(_receive, stream)
         await curio.sleep(0)
         await stream.send(b'wakes')
         await curio.sleep(0)
@@ -50,7 +50,7 @@
         other = await dial(listener.address, 1)
         await other.send(b'y')
         answer = await other.receive()
-        await waiting.join()
+        await receiver.join()
         await other.close()
         await listener.close()
         return answer
@@ -75,25 +75,25 @@
     assert run_virtual(main) == b''
 
 
-def test_aborting_while_another_task_waits() -> None:
+def test_abort_while_another_task_receives() -> None:
     async def main() -> bytes:
         listener = Listener(Address('127.0.0.1', 0), _echo)
         await listener.start()
         stream = await dial(listener.address, 1)
-        waiting = await curio.spawn(_wait_for_bytes, stream)
+        receiver = await curio.spawn(_receive, stream)
         await curio.sleep(0)
-        # Without an end this turned in the kernel for ever.
+        # Fails if the abort never returns.
         async with curio.timeout_after(20):
             await stream.abort()
-            found: bytes = await waiting.join()
+            received: bytes = await receiver.join()
         await listener.close()
-        return found
+        return received
 
     assert curio.run(main) == b''
 
 
-def test_what_comes_while_a_stream_is_closed_is_not_read() -> None:
-    """It could be run for a caller to whom no answer can be sent any more."""
+def test_data_received_during_close_is_dropped() -> None:
+    """The caller of such a statement can no longer be answered."""
 
     async def main() -> bytes:
         accepted: list[Stream] = []
@@ -108,16 +108,16 @@
         while not accepted:
             await curio.sleep(0.01)
         stream = accepted[0]
-        waiting = await curio.spawn(_wait_for_bytes, stream)
+        receiver = await curio.spawn(_receive, stream)
         await curio.sleep(0.01)
         assert stream.is_quiet()
-        # The peer's bytes arrive before the task that waits has run.
+        # The data arrives before the receiver task has run.
         peer._raw.send(b'QUERY 1 READ a\r\n')
         assert not stream.is_quiet()
         await stream.close()
-        found: bytes = await waiting.join()
+        received: bytes = await receiver.join()
         await peer.close()
         await listener.close()
-        return found
+        return received
 
     assert run_virtual(main) == b''
--- a/deckdrum/utils/tests/test_tasks.py
+++ b/deckdrum/utils/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run as long as their process."""
+"""Tests of restarted tasks and shared calls."""
 
 import io
 import json
@@ -10,23 +10,23 @@
 from deckdrum.utils.virtualtime import run_virtual
 
 
-def test_failed_task_is_told_and_begun_again() -> None:
+def test_failed_task_is_logged_and_restarted() -> None:
     lines = io.StringIO()
     runs: list[int] = []
 
-    async def work(wanted: int) -> None:
-        runs.append(wanted)
+    async def work(argument: int) -> None:
+        runs.append(argument)
         if len(runs) < 3:
-            raise KeyError('a defect')
+            raise KeyError('unexpected')
 
     curio.run(keep_running, open_journal('n1', lines), work, 7)
     assert runs == [7, 7, 7]
-    told = [json.loads(line) for line in lines.getvalue().splitlines()]
-    assert [each['event'] for each in told] == ['task.failed', 'task.failed']
-    assert 'a defect' in told[0]['trace']
+    logged = [json.loads(line) for line in lines.getvalue().splitlines()]
+    assert [each['event'] for each in logged] == ['task.failed', 'task.failed']
+    assert 'unexpected' in logged[0]['trace']
 
 
-def test_shared_call_serves_all_who_wait() -> None:
+def test_concurrent_callers_share_one_call() -> None:
     calls: list[int] = []
 
     async def work() -> int:
@@ -36,14 +36,14 @@
 
     async def main() -> list[int]:
         shared = SharedCall(work)
-        waiting = [await curio.spawn(shared.get) for _ in range(3)]
-        found = [await task.join() for task in waiting]
-        return [*found, await shared.get()]
+        tasks = [await curio.spawn(shared.get) for _ in range(3)]
+        outcome = [await task.join() for task in tasks]
+        return [*outcome, await shared.get()]
 
     assert run_virtual(main) == [1, 1, 1, 2]
 
 
-def test_who_leaves_a_shared_call_does_not_end_it_for_others() -> None:
+def test_cancelled_caller_does_not_cancel_the_shared_call() -> None:
     async def work() -> str:
         await curio.sleep(0.5)
         return 'done'
@@ -52,7 +52,7 @@
         shared = SharedCall(work)
         async with curio.ignore_after(0.1):
             await shared.get()
-        found: str = await shared.get()
-        return found
+        outcome: str = await shared.get()
+        return outcome
 
     assert run_virtual(main) == 'done'
--- a/deckdrum/utils/virtualtime.py
+++ b/deckdrum/utils/virtualtime.py
@@ -1,8 +1,8 @@
-"""A curio kernel whose clock moves only when every task waits.
+"""A curio kernel with a virtual clock.
 
-Tests and experiments run proxies and stand-ins over real loopback sockets in
-one kernel.  The selector polls without blocking; when nothing is ready it
-advances the clock to the next deadline instead of sleeping.
+Tests and experiments run proxies and simulated servers over real loopback
+sockets in one kernel.  The selector polls without blocking; when no event is
+ready, it advances the clock to the next deadline instead of sleeping.
 """
 
 import selectors
@@ -15,21 +15,21 @@
 from curio import kernel as curio_kernel
 
 _Outcome = TypeVar('_Outcome')
-#: Polls without an event before the clock may move.  Loopback delivery is
-#: synchronous on Linux; the second poll guards against a deferred delivery.
+#: Polls without an event before the clock advances.  Loopback delivery is
+#: synchronous on Linux; the second poll guards against deferred delivery.
 _IDLE_POLLS: Final = 2
-#: Wall-clock wait, in seconds, used when no task has a deadline at all.
+#: Real time to wait for other threads when no task has a deadline.
 _STALL_POLL_TIMEOUT_S: Final = 0.05
 _MAX_STALLED_POLLS: Final = 200
 
 
 class VirtualClock:
-    """The time of a virtual kernel.
+    """The clock of a virtual kernel.
 
     Parameters
     ----------
     start : float
-        First reading, in seconds.
+        Initial time, in seconds.
 
     Examples
     --------
@@ -43,16 +43,16 @@
         self._now = start
 
     def monotonic(self) -> float:
-        """Return the current reading in seconds."""
+        """Return the current time in seconds."""
         return self._now
 
     def advance(self, seconds: float) -> None:
-        """Move the clock forward by `seconds`."""
+        """Advance the clock by `seconds`."""
         self._now += seconds
 
 
 class VirtualSelector(selectors.DefaultSelector):
-    """A selector that advances a clock where others would block.
+    """A selector that advances a clock instead of blocking.
 
     Parameters
     ----------
@@ -74,7 +74,7 @@
         Raises
         ------
         RuntimeError
-            If no task has a deadline and no event arrives: a deadlock.
+            If no task has a deadline and no event arrives (a deadlock).
         """
         for _ in range(_IDLE_POLLS):
             events = self._poll()
@@ -96,7 +96,9 @@
     def _wait_for_thread(self) -> list[tuple[selectors.SelectorKey, int]]:
         self._stalls += 1
         if self._stalls > _MAX_STALLED_POLLS:
-            raise RuntimeError('every task waits and none has a deadline')
+            raise RuntimeError(
+                'deadlock: every task waits and none has a deadline'
+            )
         return self._poll(_STALL_POLL_TIMEOUT_S)
 
 
@@ -104,7 +106,7 @@
     main: Callable[..., Awaitable[_Outcome]],
     *arguments: Any,
 ) -> _Outcome:
-    """Run a coroutine function to its end in virtual time.
+    """Run a coroutine function to completion in virtual time.
 
     Parameters
     ----------
@@ -116,14 +118,14 @@
     Returns
     -------
     object
-        What `main` returns.
+        The return value of `main`.
 
     Examples
     --------
-    >>> async def wait_an_hour():
+    >>> async def sleep_one_hour():
     ...     await curio.sleep(3600)
     ...     return await curio.clock()
-    >>> run_virtual(wait_an_hour)
+    >>> run_virtual(sleep_one_hour)
     3600
     """
     clock = VirtualClock()
