--- a/deckdrum/bench/__init__.py
+++ b/deckdrum/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load, experiments and the demonstration, on stand-ins."""
+"""Load generators, experiments and a demo, run against stand-ins."""
--- a/deckdrum/bench/client.py
+++ b/deckdrum/bench/client.py
@@ -1,4 +1,4 @@
-"""A caller for tests and experiments."""
+"""A database client for tests and experiments."""
 
 from collections.abc import Mapping
 
@@ -10,16 +10,16 @@
 from deckdrum.databases.postgres import PostgresLink
 from deckdrum.utils import Address, dial
 
-_CONNECT_LIMIT = 5.0
+_CONNECT_TIMEOUT_S = 5.0
 
 
 class Client:
-    """One caller's connection to a proxy.
+    """A client connection to a proxy.
 
     Parameters
     ----------
     link : PostgresLink
-        The connection, logged in.
+        The authenticated connection.
     """
 
     def __init__(self, link: PostgresLink) -> None:
@@ -27,7 +27,7 @@
 
     @property
     def token(self) -> str:
-        """The session token that the proxy last reported."""
+        """Session token most recently reported by the proxy."""
         return self.link.reported.get(SESSION, '')
 
     @classmethod
@@ -37,19 +37,19 @@
         credentials: Credentials,
         options: Mapping[str, str] | None = None,
     ) -> 'Client':
-        """Log in at a proxy; `credentials.database` names the service.
+        """Connect to a proxy; `credentials.database` names the service.
 
         Raises
         ------
         ConnectionError
-            If the proxy refuses or cannot be reached.
+            If the proxy is unreachable or refuses the connection.
         """
         entry = DatabaseEntry(
             name='proxy',
             data_centre='any',
             address=str(address),
         )
-        link = PostgresLink(entry, await dial(address, _CONNECT_LIMIT))
+        link = PostgresLink(entry, await dial(address, _CONNECT_TIMEOUT_S))
         try:
             await link.start(credentials, dict(options or {}))
         except (ConnectionError, curio.CancelledError):
@@ -62,7 +62,7 @@
         return await self.link.query(text)
 
     async def read_one(self, text: str) -> str | None:
-        """Return the only value of a query.
+        """Return the first value of a query, or None if it has no rows.
 
         Raises
         ------
@@ -75,5 +75,5 @@
         return answer.rows[0][0] if answer.rows else None
 
     async def close(self) -> None:
-        """Leave."""
+        """Close the connection."""
         await self.link.close()
--- a/deckdrum/bench/demo.py
+++ b/deckdrum/bench/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: the whole path, with figures, on embedded stand-ins."""
+"""End-to-end demo of a deployment with embedded stand-ins."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -21,92 +21,94 @@
 from deckdrum.failover import FailoverReport
 
 _SERVICE: Final = 'stalls'
-_CALLERS: Final = 6
-_LOAD_SECONDS: Final = 3.0
-_IN_FORCE_LIMIT: Final = 5.0
-_FAILOVER_LIMIT: Final = 16.0
-_REPLICA_SHARE: Final = 0.9
-_POLL: Final = 0.01
+_CALLER_COUNT: Final = 6
+_LOAD_DURATION_S: Final = 3.0
+_ACTIVATION_TIMEOUT_S: Final = 5.0
+_MAX_FAILOVER_S: Final = 16.0
+_MIN_REPLICA_FRACTION: Final = 0.9
+_POLL_INTERVAL_S: Final = 0.01
 _PERCENT: Final = 100
 
 
 @dataclass(slots=True)
 class DemoReport:
-    """What the demonstration found; lines to print and failures."""
+    """Result of the demo: lines to print and failed checks."""
 
     lines: list[str] = field(default_factory=list)
     failures: list[str] = field(default_factory=list)
 
-    def tell(self, text: str, is_right: bool = True) -> None:
-        """Add a line; a wrong one fails the demonstration."""
-        mark = 'ok  ' if is_right else 'FAIL'
-        self.lines.append(f'{mark} {text}')
-        if not is_right:
+    def add_line(self, text: str, passed: bool = True) -> None:
+        """Add a line; the demo fails if `passed` is false."""
+        status = 'ok  ' if passed else 'FAIL'
+        self.lines.append(f'{status} {text}')
+        if not passed:
             self.failures.append(text)
 
 
 async def run_demo() -> DemoReport:
-    """Run the demonstration in the present kernel."""
-    account = DemoReport()
+    """Run the demo in the current curio kernel."""
+    report = DemoReport()
     deployment = Deployment(Layout())
     await deployment.start()
     await create_table(deployment, _SERVICE)
     load = Load(deployment, LoadProfile(), Random(1))
-    await load.start(_CALLERS)
-    await curio.sleep(_LOAD_SECONDS)
-    await _show_configuration(deployment, account)
-    await _show_failover(deployment, account)
-    await curio.sleep(_LOAD_SECONDS)
+    await load.start(_CALLER_COUNT)
+    await curio.sleep(_LOAD_DURATION_S)
+    await _check_configuration_change(deployment, report)
+    await _check_failover(deployment, report)
+    await curio.sleep(_LOAD_DURATION_S)
     await load.finish()
-    _show_history(deployment, load, account)
+    _check_history(deployment, load, report)
     await deployment.close()
-    return account
+    return report
 
 
-async def _show_configuration(
+async def _check_configuration_change(
     deployment: Deployment,
-    account: DemoReport,
+    report: DemoReport,
 ) -> None:
     text = deployment.describe().replace('max_age: 5', 'max_age: 4')
     applied_at = await curio.clock()
     await deployment.apply(text, number=2)
     for name, proxy in deployment.proxies.items():
-        is_there = await _wait(_has_number(proxy, 2), _IN_FORCE_LIMIT)
+        is_active = await _wait_for(
+            _has_configuration(proxy, 2), _ACTIVATION_TIMEOUT_S
+        )
         delay = proxy.view.active_since - applied_at
-        account.tell(
-            f'configuration {proxy.view.number} in force on {name} '
+        report.add_line(
+            f'configuration {proxy.view.number} active on {name} '
             f'after {delay:.3f} s',
-            is_there,
+            is_active,
         )
 
 
-async def _show_failover(deployment: Deployment, account: DemoReport) -> None:
+async def _check_failover(deployment: Deployment, report: DemoReport) -> None:
     primary = deployment.find_primary(_SERVICE)
     killed_at = await curio.clock()
     await primary.crash()
     client = await deployment.connect(min(deployment.proxies))
     while not await _is_writable(client):
-        await curio.sleep(_POLL)
-    gap = await curio.clock() - killed_at
+        await curio.sleep(_POLL_INTERVAL_S)
+    write_gap = await curio.clock() - killed_at
     await client.close()
-    account.tell(
-        f'{primary.name} killed; writes accepted again after {gap:.3f} s',
-        gap < _FAILOVER_LIMIT,
+    report.add_line(
+        f'{primary.name} killed; writes accepted again after {write_gap:.3f} s',
+        write_gap < _MAX_FAILOVER_S,
     )
-    _show_phases(list_failover_reports(deployment), killed_at, account)
+    _report_phases(list_failover_reports(deployment), killed_at, report)
     await primary.start()
 
 
-def _show_phases(
+def _report_phases(
     reports: list[FailoverReport],
     killed_at: float,
-    account: DemoReport,
+    report: DemoReport,
 ) -> None:
-    account.tell(f'failovers driven: {len(reports)}', len(reports) == 1)
-    for report in reports:
-        for phase, at in report.phases.items():
-            passed = at - killed_at
-            account.tell(f'  {phase}: {passed:+.3f} s from the kill')
+    report.add_line(f'failovers: {len(reports)}', len(reports) == 1)
+    for failover in reports:
+        for phase, at in failover.phases.items():
+            elapsed = at - killed_at
+            report.add_line(f'  {phase}: {elapsed:+.3f} s relative to the kill')
 
 
 async def _is_writable(client: Client) -> bool:
@@ -114,43 +116,43 @@
     return not answer.sqlstate
 
 
-def _show_history(
+def _check_history(
     deployment: Deployment,
     load: Load,
-    account: DemoReport,
+    report: DemoReport,
 ) -> None:
     history = load.history
-    broken = history.check_rows(read_rows(deployment, _SERVICE))
-    account.tell(
+    violated = history.check_rows(read_rows(deployment, _SERVICE))
+    report.add_line(
         f'writes: {history.count(ReportedOutcome.DONE)} acknowledged, '
         f'{history.count(ReportedOutcome.NOT_RUN)} not run, '
         f'{history.count(ReportedOutcome.UNKNOWN)} unknown',
         history.count(ReportedOutcome.DONE) > 0,
     )
-    account.tell(
-        f'read-your-write checks across proxies: {history.checks} '
-        f'in {history.reads} reads, {len(history.violations)} wrong',
+    report.add_line(
+        f'read-your-writes checks across proxies: {history.checks} '
+        f'in {history.reads} reads, {len(history.violations)} violations',
         history.checks > 0 and not history.violations,
     )
     share = compute_replica_share(deployment)
-    account.tell(
+    report.add_line(
         f'reads served by replicas: {share * _PERCENT:.1f} %',
-        share >= _REPLICA_SHARE,
+        share >= _MIN_REPLICA_FRACTION,
     )
-    lost = [each for each in broken if 'lost' in each]
-    doubled = [each for each in broken if 'doubled' in each]
-    account.tell(f'acknowledged writes lost: {len(lost)}', not lost)
-    account.tell(f'writes doubled: {len(doubled)}', not doubled)
-    for each in broken:
-        account.tell(each, is_right=False)
+    lost = [each for each in violated if 'lost' in each]
+    doubled = [each for each in violated if 'doubled' in each]
+    report.add_line(f'acknowledged writes lost: {len(lost)}', not lost)
+    report.add_line(f'writes doubled: {len(doubled)}', not doubled)
+    for each in violated:
+        report.add_line(each, passed=False)
 
 
-def _has_number(proxy: Any, number: int) -> Callable[[], bool]:
+def _has_configuration(proxy: Any, number: int) -> Callable[[], bool]:
     return lambda: proxy.view.number >= number
 
 
-async def _wait(check: Callable[[], bool], limit: float) -> bool:
-    async with curio.ignore_after(limit):
+async def _wait_for(check: Callable[[], bool], timeout: float) -> bool:
+    async with curio.ignore_after(timeout):
         while not check():
-            await curio.sleep(_POLL)
+            await curio.sleep(_POLL_INTERVAL_S)
     return check()
--- a/deckdrum/bench/deployment.py
+++ b/deckdrum/bench/deployment.py
@@ -1,4 +1,4 @@
-"""Whole deployments of stand-ins and proxies in one process."""
+"""Deployments of stand-ins and proxies within one process."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -24,16 +24,13 @@
 _HOST: Final = '127.0.0.1'
 _SALT: Final = b'0123456789abcdef'
 _PASSWORD: Final = 'standin'
-_KEY: Final = 'a key of the stand-in fleet'
-_POLL: Final = 0.02
+_SESSION_KEY: Final = 'a key of the stand-in fleet'
+_POLL_INTERVAL_S: Final = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Sizes of a deployment; times in seconds.
-
-    The defaults are the stall bookings of Bratislava.
-    """
+    """Topology and simulated delays of a deployment; times in seconds."""
 
     data_centres: tuple[str, ...] = ('ba-hall', 'tt-hall', 'nr-hall')
     services: tuple[str, ...] = ('stalls', 'payouts', 'gates')
@@ -47,7 +44,7 @@
     local_latency: float = 0.0001
     statement_time: float = 0.0002
     apply_lag: float = 0.02
-    #: First of the fixed ports; 0 takes free ones.
+    #: Base of the port numbers; 0 binds to free ports.
     first_port: int = 0
     not_repeatable_tables: tuple[str, ...] = ('fees',)
     read_functions: tuple[str, ...] = ()
@@ -56,12 +53,12 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """Stand-ins and proxies that run in the present kernel.
+    """Stand-ins and proxies running in the current curio kernel.
 
     Parameters
     ----------
     layout : Layout
-        What to build.
+        Topology and delays.
     """
 
     layout: Layout
@@ -71,20 +68,20 @@
     proxies: dict[str, Proxy] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.platform = StandinPlatform(self._pick(0))
+        self.platform = StandinPlatform(self._make_address(0))
 
     async def start(self) -> None:
-        """Start everything and wait until the configuration is in force."""
+        """Start all components and wait until the proxies are ready."""
         await self.platform.start()
         for number, service in enumerate(self.layout.services):
             await self._start_service(number, service)
         await self.apply(self.describe(), number=1)
         for number in range(1, self.layout.proxies + 1):
             await self.start_proxy(number)
-        await self.wait_ready()
+        await self.wait_for_ready()
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop all components."""
         for proxy in self.proxies.values():
             await proxy.close()
         for database in self.databases.values():
@@ -110,14 +107,14 @@
                     for name in layout.groups
                 ],
                 'services': [
-                    self._describe_service(name) for name in layout.services
+                    self._build_service_entry(name) for name in layout.services
                 ],
                 'read_kinds': [{'name': 'browse', 'max_age': 5}],
             }
         )
 
     async def apply(self, text: str, number: int) -> None:
-        """Store a configuration document without any check."""
+        """Store a configuration document without validating it."""
         store = HttpObjectStore(self.platform.address)
         record = ConfigurationRecord(
             number=number,
@@ -125,8 +122,8 @@
             author='bench',
             text=text,
         )
-        found = await store.fetch(CONFIGURATION_PATH)
-        version = 0 if found is None else found.version
+        stored = await store.fetch(CONFIGURATION_PATH)
+        version = 0 if stored is None else stored.version
         await store.put(CONFIGURATION_PATH, record.encode(), version)
         await store.close()
 
@@ -135,19 +132,21 @@
         number: int,
         peers: tuple[str, ...] = (),
     ) -> Proxy:
-        """Start a proxy and list it as live."""
+        """Start a proxy and register it as a live instance."""
         layout = self.layout
-        place = layout.data_centres[(number - 1) % len(layout.data_centres)]
+        data_centre = layout.data_centres[
+            (number - 1) % len(layout.data_centres)
+        ]
         settings = ProxySettings(
             name=f'p{number}',
-            data_centre=place,
-            listen=str(self._pick(10 * number)),
-            peer_listen=str(self._pick(10 * number + 1)),
-            admin_listen=str(self._pick(10 * number + 2)),
+            data_centre=data_centre,
+            listen=str(self._make_address(10 * number)),
+            peer_listen=str(self._make_address(10 * number + 1)),
+            admin_listen=str(self._make_address(10 * number + 2)),
             platform=str(self.platform.address),
             peers=list(peers),
             database_password=_PASSWORD,
-            session_keys=[_KEY],
+            session_keys=[_SESSION_KEY],
             seed=layout.seed * 1000 + number,
         )
         store = HttpObjectStore(self.platform.address)
@@ -157,10 +156,10 @@
         await self.platform.list_instance(proxy.membership.own, at_once=True)
         return proxy
 
-    async def wait_ready(self) -> None:
-        """Return once every proxy serves and every service has a primary."""
+    async def wait_for_ready(self) -> None:
+        """Wait until all proxies are ready and know all services and peers."""
         while not self._is_ready():
-            await curio.sleep(_POLL)
+            await curio.sleep(_POLL_INTERVAL_S)
 
     async def connect(
         self,
@@ -169,7 +168,7 @@
         service: str = 'stalls',
         **options: str,
     ) -> Client:
-        """Log a caller in; underscored options are session settings."""
+        """Connect a client; `options` are ``deckdrum.*`` session settings."""
         settings = {f'deckdrum.{name}': text for name, text in options.items()}
         return await Client.connect(
             self.proxies[proxy].address,
@@ -178,7 +177,7 @@
         )
 
     def find_primary(self, service: str) -> StandinDatabase:
-        """Return the primary that the platform's record names."""
+        """Return the primary named by the service record of the platform."""
         record = self.platform.read_object(f'deckdrum/services/{service}')
         return self.databases[record['primary']]
 
@@ -194,11 +193,11 @@
         layout = self.layout
         started = []
         for slot in range(layout.databases):
-            places = layout.data_centres
+            data_centres = layout.data_centres
             profile = DatabaseProfile(
                 name=f'{service}-{slot + 1}',
-                data_centre=places[(slot + number) % len(places)],
-                address=self._pick(100 + 10 * number + slot),
+                data_centre=data_centres[(slot + number) % len(data_centres)],
+                address=self._make_address(100 + 10 * number + slot),
                 max_connections=layout.max_connections,
                 connect_time=layout.connect_time,
                 hop_latency=layout.hop_latency,
@@ -217,7 +216,7 @@
         for database in started[1:]:
             database.follow(started[0].name, 1)
 
-    def _describe_service(self, service: str) -> dict[str, object]:
+    def _build_service_entry(self, service: str) -> dict[str, object]:
         return {
             'name': service,
             'not_repeatable_tables': list(self.layout.not_repeatable_tables),
@@ -236,13 +235,13 @@
     def _is_ready(self) -> bool:
         if not all(proxy.is_ready for proxy in self.proxies.values()):
             return False
-        known = [
+        synchronized = [
             len(proxy.view.records) == len(self.layout.services)
             and len(proxy.view.instances) >= len(self.proxies)
             for proxy in self.proxies.values()
         ]
-        return all(known)
+        return all(synchronized)
 
-    def _pick(self, offset: int) -> Address:
+    def _make_address(self, offset: int) -> Address:
         first = self.layout.first_port
         return Address(_HOST, first + offset if first else 0)
--- a/deckdrum/bench/experiments/__init__.py
+++ b/deckdrum/bench/experiments/__init__.py
@@ -1,4 +1,4 @@
-"""Experiments: figures with bounds, in virtual time, on stand-ins."""
+"""Experiments on stand-ins in virtual time, with bounds on their figures."""
 
 from deckdrum.bench.experiments.base import Experiment, Figure, Findings
 
--- a/deckdrum/bench/experiments/base.py
+++ b/deckdrum/bench/experiments/base.py
@@ -1,4 +1,4 @@
-"""What all experiments share."""
+"""Base class of experiments, and the figures they report."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable, Sequence
@@ -8,13 +8,13 @@
 
 from hdrh.histogram import HdrHistogram
 
-_LONGEST_MICROSECONDS: Final = 600_000_000
-_DIGITS: Final = 3
-_MICROSECONDS: Final = 1_000_000
+_MAX_DURATION_US: Final = 600_000_000
+_SIGNIFICANT_DIGITS: Final = 3
+_MICROSECONDS_PER_S: Final = 1_000_000
 
 
 class BoundKind(StrEnum):
-    """On which side of its bound a figure must lie."""
+    """Whether a bound is an upper or a lower limit."""
 
     AT_MOST = '<='
     AT_LEAST = '>='
@@ -22,20 +22,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One measured figure.
+    """A measured figure.
 
     Attributes
     ----------
     name, unit : str
-        What it is.
+        Name and unit of the figure.
     measured : float
-        The product's figure.
-    side : Side or None
-        Side of the bound; None if there is no bound.
+        Measured value.
+    side : BoundKind or None
+        Kind of the bound; None for an unbounded figure.
     bound : float
-        The bound.
+        Limit for `measured`.
     naive : float or None
-        The naive policy's figure, measured in the same run.
+        Value of a naive policy in the same run, for comparison.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
     @property
     def is_met(self) -> bool:
-        """Whether the figure keeps its bound."""
+        """Whether the figure satisfies its bound."""
         if self.side is BoundKind.AT_MOST:
             return self.measured <= self.bound
         if self.side is BoundKind.AT_LEAST:
@@ -57,18 +57,18 @@
 
 @dataclass(slots=True)
 class Findings:
-    """The figures of one experiment, in order."""
+    """Figures of one experiment, in report order."""
 
     figures: list[Figure] = field(default_factory=list)
 
-    def note(
+    def record(
         self,
         name: str,
         measured: float,
         unit: str = '',
         naive: float | None = None,
     ) -> None:
-        """Note a figure without a bound."""
+        """Record a figure without a bound."""
         self.figures.append(Figure(name, measured, unit, naive=naive))
 
     def at_most(
@@ -79,7 +79,7 @@
         unit: str = '',
         naive: float | None = None,
     ) -> None:
-        """Note a figure that must not pass its bound."""
+        """Record a figure with an upper bound."""
         self.figures.append(
             Figure(name, measured, unit, BoundKind.AT_MOST, bound, naive),
         )
@@ -92,13 +92,13 @@
         unit: str = '',
         naive: float | None = None,
     ) -> None:
-        """Note a figure that must reach its bound."""
+        """Record a figure with a lower bound."""
         self.figures.append(
             Figure(name, measured, unit, BoundKind.AT_LEAST, bound, naive),
         )
 
     def extend(self, prefix: str, figures: Iterable[Figure]) -> None:
-        """Take over figures under a prefix."""
+        """Add figures with a prefix before their names."""
         for each in figures:
             self.figures.append(
                 Figure(
@@ -113,7 +113,7 @@
 
 
 class DurationHistogram:
-    """A histogram of durations in seconds.
+    """Histogram of durations in seconds.
 
     Examples
     --------
@@ -125,37 +125,39 @@
     """
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, _LONGEST_MICROSECONDS, _DIGITS)
+        self._histogram = HdrHistogram(1, _MAX_DURATION_US, _SIGNIFICANT_DIGITS)
 
     @property
     def count(self) -> int:
-        """Number of durations."""
+        """Number of recorded durations."""
         return int(self._histogram.get_total_count())
 
     def add(self, seconds: float) -> None:
         """Record a duration."""
-        self._histogram.record_value(max(1, round(seconds * _MICROSECONDS)))
+        self._histogram.record_value(
+            max(1, round(seconds * _MICROSECONDS_PER_S))
+        )
 
     def merge(self, other: 'DurationHistogram') -> None:
-        """Take over the durations of `other`."""
+        """Add the durations of `other`."""
         self._histogram.add(other._histogram)
 
     def percentile(self, percent: float) -> float:
         """Return a percentile in seconds."""
-        found = self._histogram.get_value_at_percentile(percent)
-        return float(found) / _MICROSECONDS
+        duration_us = self._histogram.get_value_at_percentile(percent)
+        return float(duration_us) / _MICROSECONDS_PER_S
 
-    def longest(self) -> float:
+    def maximum(self) -> float:
         """Return the longest duration in seconds."""
-        return float(self._histogram.get_max_value()) / _MICROSECONDS
+        return float(self._histogram.get_max_value()) / _MICROSECONDS_PER_S
 
 
 class Experiment(ABC):
-    """One experiment; run in a virtual kernel."""
+    """An experiment that runs in virtual time."""
 
     #: Name on the command line.
     name: str
-    #: One line about it.
+    #: One-line summary for the command line.
     summary: str
 
     @abstractmethod
@@ -164,14 +166,14 @@
 
 
 def format_figures(name: str, figures: Sequence[Figure]) -> list[str]:
-    """Return a table of figures beside their bounds and naive baselines."""
+    """Return a table of figures, their bounds and naive values."""
     lines = [name]
     for each in figures:
-        mark = 'ok  ' if each.is_met else 'MISS'
+        status = 'ok  ' if each.is_met else 'MISS'
         bound = f'{each.side.value} {each.bound:g}' if each.side else ''
         naive = '' if each.naive is None else f'naive {each.naive:g}'
         lines.append(
-            f'  {mark} {each.name:58} {each.measured:>10.4g} '
+            f'  {status} {each.name:58} {each.measured:>10.4g} '
             f'{each.unit:6} {bound:10} {naive}'.rstrip(),
         )
     return lines
--- a/deckdrum/bench/experiments/failover.py
+++ b/deckdrum/bench/experiments/failover.py
@@ -1,4 +1,4 @@
-"""``failover-gap``: primaries lost in many ways."""
+"""``failover-gap``: write unavailability after faults of a primary."""
 
 import itertools
 from collections.abc import Awaitable, Callable, Mapping
@@ -26,35 +26,35 @@
 from deckdrum.fleet.membership import rank_keepers
 from deckdrum.standins.database import StandinDatabase
 
-_SEEDS: Final = 2
-_WRITERS: Final = 4
-_WRITE_PAUSE: Final = 0.05
-_WARM_UP: Final = 1.0
-_LONGEST: Final = 20.0
-_SETTLE: Final = 1.0
-_POLL: Final = 0.005
-_QUIET: Final = 8.0
-_SLOW_STORE: Final = 1.0
-_SECOND_LOSS: Final = 0.9
-_LOST_SHARE: Final = 0.1
-_MEDIAN: Final = 50
-_TAIL: Final = 99
-_MEDIAN_LIMIT: Final = 2.0
-_TAIL_LIMIT: Final = 5.0
-_WORST_LIMIT: Final = 16.0
+_RUNS_PER_FAULT: Final = 2
+_WRITER_COUNT: Final = 4
+_WRITE_INTERVAL_S: Final = 0.05
+_WARM_UP_S: Final = 1.0
+_FAILOVER_TIMEOUT_S: Final = 20.0
+_SETTLE_DELAY_S: Final = 1.0
+_POLL_INTERVAL_S: Final = 0.005
+_LINK_FAULT_DURATION_S: Final = 8.0
+_SLOW_STORE_DELAY_S: Final = 1.0
+_DRIVER_KILL_DELAY_S: Final = 0.9
+_STALLED_FRACTION: Final = 0.1
+_MEDIAN_PERCENTILE: Final = 50
+_TAIL_PERCENTILE: Final = 99
+_MAX_MEDIAN_GAP_S: Final = 2.0
+_MAX_P99_GAP_S: Final = 5.0
+_MAX_GAP_S: Final = 16.0
 
 
 @dataclass(slots=True)
 class FailoverScenario:
-    """One deployment in which a primary will be lost."""
+    """A deployment whose primary a fault affects."""
 
     deployment: Deployment
     service: str
-    randomness: Random
+    rng: Random
 
     @property
     def primary(self) -> StandinDatabase:
-        """The present primary."""
+        """The current primary."""
         return self.deployment.find_primary(self.service)
 
     @property
@@ -63,99 +63,102 @@
         return rank_keepers(self.service, self.deployment.proxies)[0]
 
 
-async def kill(scene: FailoverScenario) -> None:
+async def kill_primary(scenario: FailoverScenario) -> None:
     """Kill the primary."""
-    await scene.primary.crash()
+    await scenario.primary.crash()
 
 
-async def pause(scene: FailoverScenario) -> None:
-    """Pause the primary: connections stay open, nothing is answered."""
-    scene.primary.faults.paused = True
+async def pause_primary(scenario: FailoverScenario) -> None:
+    """Pause the primary: connections stay open but get no response."""
+    scenario.primary.faults.paused = True
 
 
-async def cut_off(scene: FailoverScenario) -> None:
-    """Cut the primary off, together with the proxy that keeps it."""
-    primary = scene.primary
+async def isolate_primary_with_keeper(scenario: FailoverScenario) -> None:
+    """Partition the primary and its keeper from the replicas.
+
+    The primary is also unreachable for all other proxies.
+    """
+    primary = scenario.primary
     others = {
         each.name
-        for each in scene.deployment.list_databases(scene.service)
+        for each in scenario.deployment.list_databases(scenario.service)
         if each is not primary
     }
-    proxies = scene.deployment.proxies.keys() - {scene.keeper}
+    proxies = scenario.deployment.proxies.keys() - {scenario.keeper}
     primary.faults.cut_from |= others | proxies
     for name in others:
-        faults = scene.deployment.databases[name].faults
-        faults.cut_from.add(scene.keeper)
+        faults = scenario.deployment.databases[name].faults
+        faults.cut_from.add(scenario.keeper)
 
 
-async def kill_primary_and_successor(scene: FailoverScenario) -> None:
-    """Kill the primary, and its successor as soon as there is one."""
-    first = scene.primary
+async def kill_primary_and_successor(scenario: FailoverScenario) -> None:
+    """Kill the primary, and its successor once one is promoted."""
+    first = scenario.primary
     await first.crash()
-    await curio.spawn(_kill_successor, scene, first, daemon=True)
+    await curio.spawn(_kill_successor, scenario, first, daemon=True)
 
 
 async def _kill_successor(
-    scene: FailoverScenario, first: StandinDatabase
+    scenario: FailoverScenario, first: StandinDatabase
 ) -> None:
-    while scene.primary is first:
-        await curio.sleep(_WRITE_PAUSE)
-    second = scene.primary
+    while scenario.primary is first:
+        await curio.sleep(_WRITE_INTERVAL_S)
+    second = scenario.primary
     await second.crash()
     await first.start()
 
 
-async def kill_primary_and_driver(scene: FailoverScenario) -> None:
-    """Kill the primary and then the proxy that drives the failover."""
-    driver = scene.deployment.proxies.pop(scene.keeper)
-    await scene.primary.crash()
-    await curio.spawn(_close_later, driver, daemon=True)
+async def kill_primary_and_driver(scenario: FailoverScenario) -> None:
+    """Kill the primary, then the proxy that drives the failover."""
+    driver = scenario.deployment.proxies.pop(scenario.keeper)
+    await scenario.primary.crash()
+    await curio.spawn(_close_after_delay, driver, daemon=True)
 
 
-async def _close_later(driver: Any) -> None:
-    await curio.sleep(_SECOND_LOSS)
+async def _close_after_delay(driver: Any) -> None:
+    await curio.sleep(_DRIVER_KILL_DELAY_S)
     await driver.close()
 
 
-async def kill_with_slow_store(scene: FailoverScenario) -> None:
-    """Kill the primary while the platform takes a second for each call."""
-    scene.deployment.platform.faults.delay = _SLOW_STORE
-    await scene.primary.crash()
+async def kill_primary_with_slow_store(scenario: FailoverScenario) -> None:
+    """Kill the primary while platform calls are slow."""
+    scenario.deployment.platform.faults.delay = _SLOW_STORE_DELAY_S
+    await scenario.primary.crash()
 
 
-_Cause = Callable[[FailoverScenario], Awaitable[None]]
-PRIMARY_FAULTS: Final[Mapping[str, _Cause]] = MappingProxyType(
+_Fault = Callable[[FailoverScenario], Awaitable[None]]
+PRIMARY_FAULTS: Final[Mapping[str, _Fault]] = MappingProxyType(
     {
-        'killed': kill,
-        'paused': pause,
-        'cut off with its keeper': cut_off,
+        'killed': kill_primary,
+        'paused': pause_primary,
+        'cut off with its keeper': isolate_primary_with_keeper,
         'killed, successor too': kill_primary_and_successor,
         'killed, driver too': kill_primary_and_driver,
-        'killed, platform slow': kill_with_slow_store,
+        'killed, platform slow': kill_primary_with_slow_store,
     }
 )
 
 
-async def cut_keeper_link(scene: FailoverScenario) -> None:
-    """Cut only the keeper from the primary."""
-    scene.primary.faults.cut_from.add(scene.keeper)
+async def cut_keeper_link(scenario: FailoverScenario) -> None:
+    """Cut only the link between the keeper and the primary."""
+    scenario.primary.faults.cut_from.add(scenario.keeper)
 
 
-async def drop_probes(scene: FailoverScenario) -> None:
-    """Stall the keeper's link to the primary for a tenth of the time."""
-    await curio.spawn(_stall_often, scene, daemon=True)
+async def drop_probes(scenario: FailoverScenario) -> None:
+    """Cut the link from keeper to primary for about a tenth of the time."""
+    await curio.spawn(_stall_link, scenario, daemon=True)
 
 
-async def _stall_often(scene: FailoverScenario) -> None:
-    faults = scene.primary.faults
+async def _stall_link(scenario: FailoverScenario) -> None:
+    faults = scenario.primary.faults
     while True:
-        await curio.sleep(scene.randomness.random())
-        faults.cut_from.add(scene.keeper)
-        await curio.sleep(scene.randomness.random() * _LOST_SHARE)
-        faults.cut_from.discard(scene.keeper)
+        await curio.sleep(scenario.rng.random())
+        faults.cut_from.add(scenario.keeper)
+        await curio.sleep(scenario.rng.random() * _STALLED_FRACTION)
+        faults.cut_from.discard(scenario.keeper)
 
 
-LINK_FAULTS: Final[Mapping[str, _Cause]] = MappingProxyType(
+LINK_FAULTS: Final[Mapping[str, _Fault]] = MappingProxyType(
     {
         'one bad link': cut_keeper_link,
         'a tenth of the probes lost': drop_probes,
@@ -164,58 +167,58 @@
 
 
 class Writers:
-    """Callers that write without pause and note when a write is done."""
+    """Callers that write periodically and record completion times."""
 
-    def __init__(self, scene: FailoverScenario, history: History) -> None:
-        self._scene = scene
+    def __init__(self, scenario: FailoverScenario, history: History) -> None:
+        self._scenario = scenario
         self._history = history
         self._number = 0
         self._tasks: list[Any] = []
-        self.done_at: list[float] = []
-        self.is_over = False
+        self.write_times: list[float] = []
+        self.is_stopping = False
 
     async def start(self) -> None:
-        """Start the callers, at proxies that survive."""
-        proxies = sorted(self._scene.deployment.proxies)
-        proxies.remove(self._scene.keeper)
-        for place in range(_WRITERS):
-            task = await curio.spawn(self._run, proxies[place])
+        """Start the callers, on proxies other than the keeper."""
+        proxies = sorted(self._scenario.deployment.proxies)
+        proxies.remove(self._scenario.keeper)
+        for index in range(_WRITER_COUNT):
+            task = await curio.spawn(self._run, proxies[index])
             self._tasks.append(task)
 
     async def finish(self) -> None:
-        """Let the callers end."""
-        self.is_over = True
+        """Stop the callers and wait for them."""
+        self.is_stopping = True
         for task in self._tasks:
             await task.join()
 
     async def _run(self, proxy: str) -> None:
-        layout = self._scene.deployment.layout
-        client = await self._scene.deployment.connect(
+        layout = self._scenario.deployment.layout
+        client = await self._scenario.deployment.connect(
             proxy,
             layout.groups[0],
-            self._scene.service,
+            self._scenario.service,
         )
-        while not self.is_over:
+        while not self.is_stopping:
             self._number += 1
             number = self._number
             self._history.record_write(number, ReportedOutcome.UNKNOWN)
             answer = await client.run(
                 f"INSERT INTO bookings VALUES ({number}, 'w')",
             )
-            told = parse_reported_outcome(answer)
-            self._history.record_write(number, told)
-            if told is ReportedOutcome.DONE:
-                self.done_at.append(await curio.clock())
-            await curio.sleep(_WRITE_PAUSE)
+            outcome = parse_reported_outcome(answer)
+            self._history.record_write(number, outcome)
+            if outcome is ReportedOutcome.DONE:
+                self.write_times.append(await curio.clock())
+            await curio.sleep(_WRITE_INTERVAL_S)
         await client.close()
 
 
 @dataclass(slots=True)
-class Loss:
-    """What one loss came to: the gap in seconds, and what was broken."""
+class FailoverResult:
+    """Outcome of one fault; `gap` is the write unavailability in seconds."""
 
     gap: float
-    broken: int
+    violations: int
     reports: list[FailoverReport]
     promotions: int
 
@@ -223,60 +226,63 @@
 async def measure_failover(
     layout: Layout,
     seed: int,
-    cause: _Cause,
-    is_loss: bool,
-) -> Loss:
-    """Have writers write, bring the cause about, and measure the gap."""
+    inject_fault: _Fault,
+    expects_promotion: bool,
+) -> FailoverResult:
+    """Inject a fault under write load and measure the write gap.
+
+    If `expects_promotion` is false, no gap is measured.
+    """
     deployment = Deployment(replace(layout, seed=seed))
     await deployment.start()
     service = layout.services[0]
     await create_table(deployment, service, layout.groups[0])
-    scene = FailoverScenario(deployment, service, Random(seed))
+    scenario = FailoverScenario(deployment, service, Random(seed))
     history = History()
-    writers = Writers(scene, history)
+    writers = Writers(scenario, history)
     await writers.start()
-    await curio.sleep(_WARM_UP + scene.randomness.random())
+    await curio.sleep(_WARM_UP_S + scenario.rng.random())
     term = _read_term(deployment, service)
-    began = await curio.clock()
-    await cause(scene)
-    gap = _LONGEST
-    if is_loss:
-        gap = await _wait_writable(scene, writers, began, term)
+    started_at = await curio.clock()
+    await inject_fault(scenario)
+    gap = _FAILOVER_TIMEOUT_S
+    if expects_promotion:
+        gap = await _wait_for_writes(scenario, writers, started_at, term)
     else:
-        await curio.sleep(_QUIET)
-    await curio.sleep(_SETTLE)
+        await curio.sleep(_LINK_FAULT_DURATION_S)
+    await curio.sleep(_SETTLE_DELAY_S)
     await writers.finish()
-    broken = history.check_rows(read_rows(deployment, service))
-    loss = Loss(
+    violations = history.check_rows(read_rows(deployment, service))
+    measurement = FailoverResult(
         gap,
-        len(broken),
+        len(violations),
         list_failover_reports(deployment),
         _read_term(deployment, service) - term,
     )
     await deployment.close()
-    return loss
+    return measurement
 
 
-async def _wait_writable(
-    scene: FailoverScenario,
+async def _wait_for_writes(
+    scenario: FailoverScenario,
     writers: Writers,
-    began: float,
+    started_at: float,
     term: int,
 ) -> float:
-    """Return the longest time without a write done, from the loss on."""
-    async with curio.ignore_after(_LONGEST):
-        while _read_term(scene.deployment, scene.service) == term:
-            await curio.sleep(_POLL)
-        learned_at = await curio.clock()
-        while not writers.done_at or writers.done_at[-1] <= learned_at:
-            await curio.sleep(_POLL)
-        await curio.sleep(_SETTLE)
-        return _find_longest_pause(began, writers.done_at)
-    return _LONGEST
-
-
-def _find_longest_pause(began: float, done: list[float]) -> float:
-    moments = [began, *sorted(at for at in done if at > began)]
+    """Return the longest gap between completed writes since the fault."""
+    async with curio.ignore_after(_FAILOVER_TIMEOUT_S):
+        while _read_term(scenario.deployment, scenario.service) == term:
+            await curio.sleep(_POLL_INTERVAL_S)
+        promoted_at = await curio.clock()
+        while not writers.write_times or writers.write_times[-1] <= promoted_at:
+            await curio.sleep(_POLL_INTERVAL_S)
+        await curio.sleep(_SETTLE_DELAY_S)
+        return _find_longest_gap(started_at, writers.write_times)
+    return _FAILOVER_TIMEOUT_S
+
+
+def _find_longest_gap(started_at: float, completions: list[float]) -> float:
+    moments = [started_at, *sorted(at for at in completions if at > started_at)]
     return max(end - start for start, end in itertools.pairwise(moments))
 
 
@@ -286,16 +292,16 @@
 
 
 def list_failover_reports(deployment: Deployment) -> list[FailoverReport]:
-    """Return the reports of every proxy."""
-    found: list[FailoverReport] = []
+    """Return the failover reports of all proxies."""
+    collected: list[FailoverReport] = []
     for proxy in deployment.proxies.values():
         for keeper in proxy.keeper_manager.keepers.values():
-            found.extend(keeper.supervisor.reports)
-    return found
+            collected.extend(keeper.supervisor.reports)
+    return collected
 
 
 class FailoverGap(Experiment):
-    """Time until writes are accepted again, and promotions without need."""
+    """Write gaps after primary faults, and unnecessary promotions."""
 
     name = 'failover-gap'
     summary = 'time from losing a primary until writes are accepted again'
@@ -304,46 +310,57 @@
         """Run the experiment and return its figures."""
         findings = Findings()
         gaps = DurationHistogram()
-        broken = 0
-        for place, layout in (('market', MARKET), ('buoy', BUOY)):
-            for name, cause in PRIMARY_FAULTS.items():
-                times, wrong = await self._repeat(layout, seed, cause)
-                gaps.merge(times)
-                broken += wrong
+        violations = 0
+        for layout_name, layout in (('market', MARKET), ('buoy', BUOY)):
+            for name, inject_fault in PRIMARY_FAULTS.items():
+                durations, new_violations = await self._repeat(
+                    layout, seed, inject_fault
+                )
+                gaps.merge(durations)
+                violations += new_violations
                 findings.at_most(
-                    f'{place}, {name}: longest gap',
-                    times.longest(),
-                    _WORST_LIMIT,
+                    f'{layout_name}, {name}: longest gap',
+                    durations.maximum(),
+                    _MAX_GAP_S,
                     's',
                 )
-        self._note_all(findings, gaps, broken)
-        for name, cause in LINK_FAULTS.items():
-            loss = await measure_failover(MARKET, seed, cause, False)
-            findings.at_most(f'{name}: promotions', loss.promotions, 0)
-            findings.at_most(f'{name}: broken promises', loss.broken, 0)
+        self._record_totals(findings, gaps, violations)
+        for name, inject_fault in LINK_FAULTS.items():
+            measurement = await measure_failover(
+                MARKET, seed, inject_fault, False
+            )
+            findings.at_most(f'{name}: promotions', measurement.promotions, 0)
+            findings.at_most(
+                f'{name}: broken promises', measurement.violations, 0
+            )
         return findings
 
     async def _repeat(
         self,
         layout: Layout,
         seed: int,
-        cause: _Cause,
+        inject_fault: _Fault,
     ) -> tuple[DurationHistogram, int]:
-        times = DurationHistogram()
-        broken = 0
-        for turn in range(_SEEDS):
-            loss = await measure_failover(layout, seed + turn, cause, True)
-            times.add(loss.gap)
-            broken += loss.broken
-        return times, broken
-
-    def _note_all(
+        durations = DurationHistogram()
+        violations = 0
+        for run_index in range(_RUNS_PER_FAULT):
+            measurement = await measure_failover(
+                layout, seed + run_index, inject_fault, True
+            )
+            durations.add(measurement.gap)
+            violations += measurement.violations
+        return durations, violations
+
+    def _record_totals(
         self,
         findings: Findings,
         gaps: DurationHistogram,
-        broken: int,
+        violations: int,
     ) -> None:
-        median, tail = gaps.percentile(_MEDIAN), gaps.percentile(_TAIL)
-        findings.at_most('median gap', median, _MEDIAN_LIMIT, 's')
-        findings.at_most('p99 gap', tail, _TAIL_LIMIT, 's')
-        findings.at_most('lost, doubled or untrue', broken, 0)
+        median, tail = (
+            gaps.percentile(_MEDIAN_PERCENTILE),
+            gaps.percentile(_TAIL_PERCENTILE),
+        )
+        findings.at_most('median gap', median, _MAX_MEDIAN_GAP_S, 's')
+        findings.at_most('p99 gap', tail, _MAX_P99_GAP_S, 's')
+        findings.at_most('lost, doubled or untrue', violations, 0)
--- a/deckdrum/bench/experiments/outcomes.py
+++ b/deckdrum/bench/experiments/outcomes.py
@@ -1,4 +1,4 @@
-"""``outcomes``: a request cut at every step, and what the caller is told."""
+"""``outcomes``: reported outcomes of writes interrupted by faults."""
 
 from collections import Counter
 from collections.abc import Awaitable, Callable, Mapping
@@ -21,17 +21,17 @@
 from deckdrum.fleet.membership import rank_keepers
 
 _SERVICE: Final = 'stalls'
-_WRITERS: Final = 4
-_STEP: Final = 0.001
-_STEPS: Final = 10
-_MEND_AFTER: Final = 3.0
-_SETTLE: Final = 1.5
-_PROXIES: Final = 4
+_WRITER_COUNT: Final = 4
+_STEP_S: Final = 0.001
+_STEP_COUNT: Final = 10
+_FAULT_DURATION_S: Final = 3.0
+_SETTLE_DELAY_S: Final = 1.5
+_PROXY_COUNT: Final = 4
 
 
 @dataclass(slots=True)
 class FaultTarget:
-    """A deployment whose next request will be cut."""
+    """The deployment into which a fault is injected."""
 
     deployment: Deployment
 
@@ -41,50 +41,50 @@
         return rank_keepers(_SERVICE, self.deployment.proxies)[0]
 
 
-async def crash_database(cut: FaultTarget) -> None:
-    """Crash the primary, and start it again later."""
-    primary = cut.deployment.find_primary(_SERVICE)
+async def crash_database(target: FaultTarget) -> None:
+    """Crash the primary and restart it."""
+    primary = target.deployment.find_primary(_SERVICE)
     await primary.crash()
-    await curio.sleep(_MEND_AFTER)
+    await curio.sleep(_FAULT_DURATION_S)
     await primary.start()
 
 
-async def pause_database(cut: FaultTarget) -> None:
-    """Pause the primary for a while."""
-    primary = cut.deployment.find_primary(_SERVICE)
+async def pause_database(target: FaultTarget) -> None:
+    """Pause the primary temporarily."""
+    primary = target.deployment.find_primary(_SERVICE)
     primary.faults.paused = True
-    await curio.sleep(_MEND_AFTER)
+    await curio.sleep(_FAULT_DURATION_S)
     primary.faults.paused = False
 
 
-async def cut_link(cut: FaultTarget) -> None:
-    """Cut the keeper from the primary for a while."""
-    faults = cut.deployment.find_primary(_SERVICE).faults
-    keeper = cut.keeper
+async def cut_keeper_link(target: FaultTarget) -> None:
+    """Cut the link between the keeper and the primary temporarily."""
+    faults = target.deployment.find_primary(_SERVICE).faults
+    keeper = target.keeper
     faults.cut_from.add(keeper)
-    await curio.sleep(_MEND_AFTER)
+    await curio.sleep(_FAULT_DURATION_S)
     faults.cut_from.discard(keeper)
 
 
-async def kill_keeper(cut: FaultTarget) -> None:
+async def kill_keeper(target: FaultTarget) -> None:
     """Kill the proxy that keeps the service."""
-    proxy = cut.deployment.proxies.pop(cut.keeper)
+    proxy = target.deployment.proxies.pop(target.keeper)
     await proxy.close()
 
 
-async def kill_entry(cut: FaultTarget) -> None:
-    """Kill a proxy to which callers are connected."""
-    names = sorted(cut.deployment.proxies.keys() - {cut.keeper})
-    proxy = cut.deployment.proxies.pop(names[0])
+async def kill_entry(target: FaultTarget) -> None:
+    """Kill a proxy that serves callers but is not the keeper."""
+    names = sorted(target.deployment.proxies.keys() - {target.keeper})
+    proxy = target.deployment.proxies.pop(names[0])
     await proxy.close()
 
 
-_Cutting = Callable[[FaultTarget], Awaitable[None]]
-REQUEST_FAULTS: Final[Mapping[str, _Cutting]] = MappingProxyType(
+_Fault = Callable[[FaultTarget], Awaitable[None]]
+REQUEST_FAULTS: Final[Mapping[str, _Fault]] = MappingProxyType(
     {
         'database crashes': crash_database,
         'database pauses': pause_database,
-        'link cut': cut_link,
+        'link cut': cut_keeper_link,
         'keeper killed': kill_keeper,
         'entry killed': kill_entry,
     }
@@ -92,16 +92,19 @@
 
 
 async def run_with_fault(
-    cause: _Cutting,
-    moment: float,
-    is_once: bool,
+    inject_fault: _Fault,
+    delay: float,
+    is_not_repeatable: bool,
     seed: int,
 ) -> tuple[History, list[str]]:
-    """Cut writers' requests at a moment; return the record and what broke."""
+    """Inject a fault `delay` seconds after writes are issued.
+
+    Returns the history and its consistency violations.
+    """
     layout = replace(
         MARKET,
         services=(_SERVICE,),
-        proxies=_PROXIES,
+        proxies=_PROXY_COUNT,
         seed=seed,
     )
     deployment = Deployment(layout)
@@ -111,18 +114,18 @@
     clients = []
     for proxy in sorted(deployment.proxies):
         client = await deployment.connect(proxy)
-        if is_once:
+        if is_not_repeatable:
             await client.run('SET deckdrum.repeatable = off')
         clients.append(client)
     async with curio.TaskGroup() as tasks:
         for number, client in enumerate(clients):
             await tasks.spawn(_write, client, number, history)
-        await curio.sleep(moment)
-        await cause(FaultTarget(deployment))
-        await curio.sleep(_SETTLE)
-    broken = history.check_rows(read_rows(deployment, _SERVICE))
+        await curio.sleep(delay)
+        await inject_fault(FaultTarget(deployment))
+        await curio.sleep(_SETTLE_DELAY_S)
+    violations = history.check_rows(read_rows(deployment, _SERVICE))
     await deployment.close()
-    return history, broken
+    return history, violations
 
 
 async def _write(client: Client, number: int, history: History) -> None:
@@ -137,37 +140,39 @@
 
 
 class Outcomes(Experiment):
-    """Every cause at every step, repeatable or not."""
+    """All faults at successive delays, with and without automatic retry."""
 
     name = 'outcomes'
-    summary = 'requests cut at every step: is what callers are told true?'
+    summary = 'faults during writes: are the reported outcomes correct?'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
         findings = Findings()
-        for name, cause in REQUEST_FAULTS.items():
-            for is_once in (False, True):
-                kind = 'once' if is_once else 'repeatable'
-                found = await self._run_steps(cause, is_once, seed)
+        for name, inject_fault in REQUEST_FAULTS.items():
+            for is_not_repeatable in (False, True):
+                kind = 'once' if is_not_repeatable else 'repeatable'
+                found = await self._run_steps(
+                    inject_fault, is_not_repeatable, seed
+                )
                 findings.extend(f'{name}, {kind}:', found.figures)
         return findings
 
     async def _run_steps(
         self,
-        cause: _Cutting,
-        is_once: bool,
+        inject_fault: _Fault,
+        is_not_repeatable: bool,
         seed: int,
     ) -> Findings:
-        told: Counter[ReportedOutcome] = Counter()
-        broken = 0
-        for step in range(_STEPS):
-            history, wrong = await run_with_fault(
-                cause, step * _STEP, is_once, seed
+        outcomes: Counter[ReportedOutcome] = Counter()
+        violations = 0
+        for step in range(_STEP_COUNT):
+            history, step_violations = await run_with_fault(
+                inject_fault, step * _STEP_S, is_not_repeatable, seed
             )
-            told.update(history.writes.values())
-            broken += len(wrong)
+            outcomes.update(history.writes.values())
+            violations += len(step_violations)
         found = Findings()
-        found.at_most('untrue', broken, 0)
+        found.at_most('untrue', violations, 0)
         for each in ReportedOutcome:
-            found.note(each.value, told[each])
+            found.record(each.value, outcomes[each])
         return found
--- a/deckdrum/bench/experiments/reads.py
+++ b/deckdrum/bench/experiments/reads.py
@@ -1,4 +1,4 @@
-"""``replica-reads``: gate checks and browsing while replicas lag."""
+"""``replica-reads``: current and aged reads while replicas lag."""
 
 from dataclasses import dataclass, field, replace
 from random import Random
@@ -23,29 +23,29 @@
 from deckdrum.bench.workload import compute_replica_share
 from deckdrum.keepers.routing import Router
 
-_SECONDS: Final = 6
-_NAIVE_SECONDS: Final = 2
-_READERS: Final = 8
-_WRITERS: Final = 2
-_READ_PAUSE: Final = 0.05
-_WRITE_PAUSE: Final = 0.1
-#: Accepted age of browsing, as the deployments declare it, in seconds.
-_MAX_AGE: Final = 5.0
-_STUCK_LAG: Final = 3600.0
-_FAR_LAG: Final = 3.0
+_DURATION_S: Final = 6
+_NAIVE_DURATION_S: Final = 2
+_READER_COUNT: Final = 8
+_WRITER_COUNT: Final = 2
+_READ_INTERVAL_S: Final = 0.05
+_WRITE_INTERVAL_S: Final = 0.1
+#: Must match `max_age` of the read kind "browse" in the deployment.
+_MAX_AGE_S: Final = 5.0
+_STUCK_LAG_S: Final = 3600.0
+_FAR_LAG_S: Final = 3.0
 _ROUND_TRIPS: Final = 3
-_TAIL: Final = 99
+_TAIL_PERCENTILE: Final = 99
 
 
 @dataclass(slots=True)
 class AcknowledgedWrites:
-    """What has been acknowledged, and when; the judge of reads."""
+    """Acknowledged writes with their times, to detect stale reads."""
 
     acknowledged: list[tuple[float, int]] = field(default_factory=list)
-    wrong: int = 0
+    stale_reads: int = 0
 
     def highest_acknowledged_before(self, moment: float) -> int:
-        """Return the highest number acknowledged before a moment."""
+        """Return the highest number acknowledged before a time."""
         return max(
             (number for at, number in self.acknowledged if at < moment),
             default=0,
@@ -54,66 +54,72 @@
 
 @dataclass(slots=True)
 class ReadLoad:
-    """Readers and writers on one service."""
+    """Concurrent readers and writers of one service."""
 
     deployment: Deployment
     service: str
-    randomness: Random
-    truth: AcknowledgedWrites = field(default_factory=AcknowledgedWrites)
-    current_times: DurationHistogram = field(default_factory=DurationHistogram)
-    is_over: bool = False
+    rng: Random
+    acknowledged_writes: AcknowledgedWrites = field(
+        default_factory=AcknowledgedWrites
+    )
+    current_durations: DurationHistogram = field(
+        default_factory=DurationHistogram
+    )
+    is_stopping: bool = False
     _number: int = 0
 
     async def run(self, seconds: float) -> None:
-        """Run the load for some seconds."""
+        """Run the load for the given duration."""
         group = self.deployment.layout.groups[0]
         proxies = sorted(self.deployment.proxies)
         first = await self.deployment.connect(proxies[0], group, self.service)
         await first.run('CREATE TABLE gates (id int)')
         tasks = []
-        for place in range(_READERS + _WRITERS):
-            proxy = proxies[place % len(proxies)]
-            kind = 'browse' if place % 2 else 'current'
+        for index in range(_READER_COUNT + _WRITER_COUNT):
+            proxy = proxies[index % len(proxies)]
+            kind = 'browse' if index % 2 else 'current'
             client = await self.deployment.connect(
                 proxy,
                 group,
                 self.service,
                 read_kind=kind,
             )
-            step: Any = self._write if place < _WRITERS else self._read
+            step: Any = self._write if index < _WRITER_COUNT else self._read
             tasks.append(await curio.spawn(step, client, kind))
         await curio.sleep(seconds)
-        self.is_over = True
+        self.is_stopping = True
         for task in tasks:
             await task.join()
         await first.close()
 
     async def _write(self, client: Client, kind: str) -> None:
-        while not self.is_over:
+        while not self.is_stopping:
             self._number += 1
             number = self._number
             answer = await client.run(f'INSERT INTO gates VALUES ({number})')
             if not answer.sqlstate:
                 now = await curio.clock()
-                self.truth.acknowledged.append((now, number))
-            await curio.sleep(_WRITE_PAUSE)
+                self.acknowledged_writes.acknowledged.append((now, number))
+            await curio.sleep(_WRITE_INTERVAL_S)
         await client.close()
 
     async def _read(self, client: Client, kind: str) -> None:
-        max_age = _MAX_AGE if kind == 'browse' else 0
+        max_age = _MAX_AGE_S if kind == 'browse' else 0
         seen = 0
-        while not self.is_over:
-            await curio.sleep(_READ_PAUSE * 2 * self.randomness.random())
-            began = await curio.clock()
+        while not self.is_stopping:
+            await curio.sleep(_READ_INTERVAL_S * 2 * self.rng.random())
+            started_at = await curio.clock()
             answer = await client.run('SELECT max(id) FROM gates')
             if answer.sqlstate:
                 continue
             if not max_age:
-                self.current_times.add(await curio.clock() - began)
+                self.current_durations.add(await curio.clock() - started_at)
             highest = int(answer.rows[0][0] or 0)
-            expected = self.truth.highest_acknowledged_before(began - max_age)
+            expected = self.acknowledged_writes.highest_acknowledged_before(
+                started_at - max_age
+            )
             if highest < max(seen, expected):
-                self.truth.wrong += 1
+                self.acknowledged_writes.stale_reads += 1
             seen = highest
         await client.close()
 
@@ -124,7 +130,7 @@
     lags: tuple[float, float],
     router_type: type[Router] | None = None,
 ) -> tuple[Deployment, ReadLoad]:
-    """Run the load with the lags of two replicas, in seconds."""
+    """Run the load with the given lags of two replicas, in seconds."""
     deployment = Deployment(replace(layout, seed=seed))
     await deployment.start()
     service = layout.services[0]
@@ -134,13 +140,13 @@
     if router_type is not None:
         install_router(deployment, router_type)
     load = ReadLoad(deployment, service, Random(seed))
-    await load.run(_SECONDS if router_type is None else _NAIVE_SECONDS)
+    await load.run(_DURATION_S if router_type is None else _NAIVE_DURATION_S)
     await deployment.close()
     return deployment, load
 
 
 class ReplicaReads(Experiment):
-    """Share of reads on replicas, and whether any was wrong."""
+    """Fraction of reads served by replicas, and stale reads."""
 
     name = 'replica-reads'
     summary = 'share of reads served by replicas while they lag'
@@ -148,15 +154,15 @@
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
         findings = Findings()
-        for place, layout in (('market', MARKET), ('buoy', BUOY)):
+        for layout_name, layout in (('market', MARKET), ('buoy', BUOY)):
             lag = layout.apply_lag
             for name, lags, shares in (
                 ('ordinary', (lag, lag), (0.99, 0.95)),
-                ('one far', (lag, _FAR_LAG), (0.95, 0.9)),
-                ('one stuck', (lag, _STUCK_LAG), (0.95, 0.9)),
+                ('one far', (lag, _FAR_LAG_S), (0.95, 0.9)),
+                ('one stuck', (lag, _STUCK_LAG_S), (0.95, 0.9)),
             ):
                 figures = await self._run_case(layout, seed, lags, shares)
-                findings.extend(f'{place}, {name}:', figures)
+                findings.extend(f'{layout_name}, {name}:', figures)
         return findings
 
     async def _run_case(
@@ -168,16 +174,22 @@
     ) -> list[Figure]:
         deployment, load = await _measure(layout, seed, lags)
         _, naive = await _measure(layout, seed, lags, RotatingRouter)
-        alone, _ = await _measure(layout, seed, lags, PrimaryRouter)
+        primary_only, _ = await _measure(layout, seed, lags, PrimaryRouter)
         found = Findings()
-        baseline = compute_replica_share(alone)
+        baseline = compute_replica_share(primary_only)
         for access, bound in zip(('aged', 'current'), shares, strict=True):
             share = compute_replica_share(deployment, (access,))
             found.at_least(f'{access} on replicas', share, bound, '', baseline)
-        found.at_most('wrong reads', load.truth.wrong, 0, '', naive.truth.wrong)
+        found.at_most(
+            'wrong reads',
+            load.acknowledged_writes.stale_reads,
+            0,
+            '',
+            naive.acknowledged_writes.stale_reads,
+        )
         trips = _ROUND_TRIPS * layout.hop_latency * 2
-        longest = round(trips + layout.apply_lag, 4)
-        tail = load.current_times.percentile(_TAIL)
-        found.at_most('p99 of current reads', tail, longest, 's')
-        found.note('current reads', load.current_times.count)
+        max_p99 = round(trips + layout.apply_lag, 4)
+        p99 = load.current_durations.percentile(_TAIL_PERCENTILE)
+        found.at_most('p99 of current reads', p99, max_p99, 's')
+        found.record('current reads', load.current_durations.count)
         return found.figures
--- a/deckdrum/bench/experiments/rolling.py
+++ b/deckdrum/bench/experiments/rolling.py
@@ -1,4 +1,4 @@
-"""``rolling-replacement``: proxies are replaced while callers are busy."""
+"""``rolling-replacement``: replacement of proxies under load."""
 
 from dataclasses import dataclass, field, replace
 from random import Random
@@ -13,46 +13,46 @@
 from deckdrum.bench.workload import Load, LoadProfile, create_table, read_rows
 
 _SERVICE: Final = 'stalls'
-_CALLERS: Final = 6
-_PACE: Final = LoadProfile(pause=0.1)
-_PAUSE: Final = 0.5
-_LOOK: Final = 0.02
+_CALLER_COUNT: Final = 6
+_PROFILE: Final = LoadProfile(pause=0.1)
+_REPLACEMENT_INTERVAL_S: Final = 0.5
+_SAMPLE_INTERVAL_S: Final = 0.02
 
 
 @dataclass(slots=True)
 class ProxyReplacer:
-    """Replaces proxies and watches connection limits meanwhile."""
+    """Replaces proxies, and tracks connection counts and drain results."""
 
     deployment: Deployment
-    drained: list[bool] = field(default_factory=list)
-    most_connections: int = 0
-    is_over: bool = False
-    _next: int = 30
+    drain_results: list[bool] = field(default_factory=list)
+    peak_connections: int = 0
+    is_stopping: bool = False
+    _next_number: int = 30
 
     async def replace(self, names: list[str]) -> None:
-        """Start as many new proxies, then stop the named ones."""
+        """Start replacements, then drain and stop the named proxies."""
         for _ in names:
-            self._next += 1
-            await self.deployment.start_proxy(self._next)
+            self._next_number += 1
+            await self.deployment.start_proxy(self._next_number)
         stopping = [self.deployment.proxies[name] for name in names]
         tasks = [await curio.spawn(each.drain) for each in stopping]
         for task, proxy in zip(tasks, stopping, strict=True):
-            self.drained.append(await task.join())
+            self.drain_results.append(await task.join())
             self.deployment.proxies.pop(proxy.name)
             await proxy.close()
             await self.deployment.platform.unlist_instance(proxy.name)
 
-    async def watch_limits(self) -> None:
-        """Note the most connections that a database has had."""
-        while not self.is_over:
+    async def track_connections(self) -> None:
+        """Track the peak number of connections of any database."""
+        while not self.is_stopping:
             for database in self.deployment.databases.values():
                 count = len(database.sessions)
-                self.most_connections = max(self.most_connections, count)
-            await curio.sleep(_LOOK)
+                self.peak_connections = max(self.peak_connections, count)
+            await curio.sleep(_SAMPLE_INTERVAL_S)
 
 
 class RollingReplacement(Experiment):
-    """All proxies one after the other, then half of them at once."""
+    """Replacement of proxies one by one, then of half at once."""
 
     name = 'rolling-replacement'
     summary = 'all proxies replaced under load, then half at once'
@@ -64,44 +64,46 @@
         deployment = Deployment(layout)
         await deployment.start()
         await create_table(deployment, _SERVICE)
-        load = Load(deployment, _PACE, Random(seed))
-        await load.start(_CALLERS)
-        replacement = ProxyReplacer(deployment)
-        watching: Any = await curio.spawn(replacement.watch_limits)
+        load = Load(deployment, _PROFILE, Random(seed))
+        await load.start(_CALLER_COUNT)
+        replacer = ProxyReplacer(deployment)
+        tracking: Any = await curio.spawn(replacer.track_connections)
         for name in list(deployment.proxies):
-            await replacement.replace([name])
-            await curio.sleep(_PAUSE)
+            await replacer.replace([name])
+            await curio.sleep(_REPLACEMENT_INTERVAL_S)
         half = list(deployment.proxies)[: layout.proxies // 2]
-        await replacement.replace(half)
-        await curio.sleep(_PAUSE)
+        await replacer.replace(half)
+        await curio.sleep(_REPLACEMENT_INTERVAL_S)
         history = await load.finish()
-        replacement.is_over = True
-        await watching.join()
-        self._judge(findings, replacement, history)
+        replacer.is_stopping = True
+        await tracking.join()
+        self._record_figures(findings, replacer, history)
         await deployment.close()
         return findings
 
-    def _judge(
+    def _record_figures(
         self,
         findings: Findings,
-        replacement: ProxyReplacer,
+        replacer: ProxyReplacer,
         history: History,
     ) -> None:
-        rows = read_rows(replacement.deployment, _SERVICE)
-        broken = history.check_rows(rows)
-        findings.at_most('promises broken', len(broken), 0)
+        rows = read_rows(replacer.deployment, _SERVICE)
+        violations = history.check_rows(rows)
+        findings.at_most('promises broken', len(violations), 0)
         findings.at_most(
             'writes unknown', history.count(ReportedOutcome.UNKNOWN), 0
         )
-        findings.note(
+        findings.record(
             'writes acknowledged', history.count(ReportedOutcome.DONE)
         )
-        findings.note('writes not run', history.count(ReportedOutcome.NOT_RUN))
-        undrained = replacement.drained.count(False)
+        findings.record(
+            'writes not run', history.count(ReportedOutcome.NOT_RUN)
+        )
+        undrained = replacer.drain_results.count(False)
         findings.at_most('proxies that did not drain', undrained, 0)
-        findings.note('proxies replaced', len(replacement.drained))
+        findings.record('proxies replaced', len(replacer.drain_results))
         findings.at_most(
             'connections of a database',
-            replacement.most_connections,
+            replacer.peak_connections,
             MARKET.max_connections,
         )
--- a/deckdrum/bench/experiments/shares.py
+++ b/deckdrum/bench/experiments/shares.py
@@ -1,4 +1,4 @@
-"""``fair-share``: one group bursts beside another."""
+"""``fair-share``: isolation of a group from bursts of another."""
 
 import math
 from dataclasses import replace
@@ -13,44 +13,46 @@
     Findings,
 )
 from deckdrum.bench.layouts import MARKET
-from deckdrum.bench.loads import GroupLoad, Tally
+from deckdrum.bench.loads import GroupLoad, LoadStatistics
 from deckdrum.bench.workload import create_table
 from deckdrum.members import FairQueue, Permit
 from deckdrum.outcomes import Refusal
 
 _SERVICE: Final = 'stalls'
-_SECONDS: Final = 5.0
+_DURATION_S: Final = 5.0
 _STATEMENT: Final = 'SELECT pg_sleep(0.02)'
 _SLOW_STATEMENT: Final = 'SELECT pg_sleep(0.2)'
-_TAIL: Final = 99
-_MEDIAN: Final = 50
-_LOOKS: Final = 20
-_QUIET_CALLERS: Final = 4
-_BURST_CALLERS: Final = 150
-#: Connections of a database, of which four are reserved for control.
-_CONNECTIONS: Final = 14
-_PAUSE: Final = 0.05
-_TAIL_FACTOR: Final = 1.5
-_SHARE: Final = 0.95
-
-
-def _describe_layout(seed: int) -> Layout:
+_TAIL_PERCENTILE: Final = 99
+_MEDIAN_PERCENTILE: Final = 50
+_SAMPLE_COUNT: Final = 20
+_QUIET_CALLER_COUNT: Final = 4
+_BURST_CALLER_COUNT: Final = 150
+#: Includes four connections reserved for control.
+_MAX_CONNECTIONS: Final = 14
+_PAUSE_S: Final = 0.05
+_MAX_P99_FACTOR: Final = 1.5
+_MIN_FRACTION: Final = 0.95
+
+
+def _make_layout(seed: int) -> Layout:
     return replace(
         MARKET,
         services=(_SERVICE,),
         groups=('growers', 'shoppers'),
         weights=(1, 1),
         proxies=4,
-        max_connections=_CONNECTIONS,
+        max_connections=_MAX_CONNECTIONS,
         seed=seed,
     )
 
 
-async def _open_idle(deployment: Deployment, group: str, number: int) -> None:
-    """Open transactions that do nothing more."""
+async def _open_idle_transactions(
+    deployment: Deployment, group: str, number: int
+) -> None:
+    """Open transactions that stay idle."""
     proxies = sorted(deployment.proxies)
-    for place in range(number):
-        proxy = proxies[place % len(proxies)]
+    for index in range(number):
+        proxy = proxies[index % len(proxies)]
         client = await deployment.connect(proxy, group, _SERVICE)
         await curio.spawn(client.run, 'BEGIN', daemon=True)
 
@@ -59,87 +61,91 @@
     seed: int,
     burst: str,
     is_naive: bool = False,
-) -> tuple[Tally, Tally]:
-    """Run a quiet group beside one that bursts in some way."""
-    deployment = Deployment(_describe_layout(seed))
+) -> tuple[LoadStatistics, LoadStatistics]:
+    """Run a steady group next to a bursting one; return both results."""
+    deployment = Deployment(_make_layout(seed))
     await deployment.start()
     if is_naive:
-        _install_one_line(deployment)
+        _install_fifo_queues(deployment)
     await create_table(deployment, _SERVICE)
-    quiet = GroupLoad(deployment, 'growers', _STATEMENT, _PAUSE)
-    await quiet.start(_QUIET_CALLERS)
+    quiet = GroupLoad(deployment, 'growers', _STATEMENT, _PAUSE_S)
+    await quiet.start(_QUIET_CALLER_COUNT)
     statement = _SLOW_STATEMENT if burst == 'slow' else _STATEMENT
     noisy = GroupLoad(deployment, 'shoppers', statement, 0)
     await curio.sleep(1)
     if burst == 'idle':
-        await _open_idle(deployment, 'shoppers', _BURST_CALLERS)
+        await _open_idle_transactions(
+            deployment, 'shoppers', _BURST_CALLER_COUNT
+        )
     elif burst != 'none':
-        await noisy.start(_BURST_CALLERS)
-    await curio.sleep(_SECONDS)
-    tallies = await quiet.finish(), await noisy.finish()
+        await noisy.start(_BURST_CALLER_COUNT)
+    await curio.sleep(_DURATION_S)
+    statistics = await quiet.finish(), await noisy.finish()
     await deployment.close()
-    return tallies
+    return statistics
 
 
 class FairShare(Experiment):
-    """What a quiet group notices while another bursts."""
+    """Latency and throughput of a steady group while another bursts."""
 
     name = 'fair-share'
-    summary = 'one group bursts; the other keeps its speed and its share'
+    summary = 'latency and throughput of a group while another bursts'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
         findings = Findings()
-        calm, _ = await _run_groups(seed, 'none')
-        base = calm.times.percentile(_TAIL)
-        findings.note('quiet p99 alone', base, 's')
+        alone, _ = await _run_groups(seed, 'none')
+        base_p99 = alone.durations.percentile(_TAIL_PERCENTILE)
+        findings.record('quiet p99 alone', base_p99, 's')
         for burst in ('quick', 'slow', 'idle'):
             quiet, noisy = await _run_groups(seed, burst)
             naive, _ = await _run_groups(seed, burst, is_naive=True)
             findings.at_most(
                 f'{burst}: p99 factor',
-                quiet.times.percentile(_TAIL) / base,
-                _TAIL_FACTOR,
-                naive=naive.times.percentile(_TAIL) / base,
+                quiet.durations.percentile(_TAIL_PERCENTILE) / base_p99,
+                _MAX_P99_FACTOR,
+                naive=naive.durations.percentile(_TAIL_PERCENTILE) / base_p99,
             )
             findings.at_least(
                 f'{burst}: throughput kept',
-                quiet.times.count / calm.times.count,
-                _SHARE,
-                naive=naive.times.count / calm.times.count,
+                quiet.durations.count / alone.durations.count,
+                _MIN_FRACTION,
+                naive=naive.durations.count / alone.durations.count,
             )
-            findings.note(f'{burst}: burst answered', noisy.times.count)
-            findings.note(f'{burst}: burst refused', noisy.refused)
-        used = await _lend(seed)
-        findings.at_least('connections used by a group alone', used, _SHARE)
+            findings.record(f'{burst}: burst answered', noisy.durations.count)
+            findings.record(f'{burst}: burst refused', noisy.refusals)
+        used_fraction = await _measure_used_fraction(seed)
+        findings.at_least(
+            'connections used by a group alone', used_fraction, _MIN_FRACTION
+        )
         return findings
 
 
-async def _lend(seed: int) -> float:
-    """Return the share of connections in use while a group is alone."""
-    deployment = Deployment(_describe_layout(seed))
+async def _measure_used_fraction(seed: int) -> float:
+    """Return the fraction of connections that a single group can use."""
+    deployment = Deployment(_make_layout(seed))
     await deployment.start()
     await create_table(deployment, _SERVICE)
     load = GroupLoad(deployment, 'growers', _STATEMENT, 0)
-    await load.start(_BURST_CALLERS)
+    await load.start(_BURST_CALLER_COUNT)
     await curio.sleep(2)
-    used = DurationHistogram()
+    used_fractions = DurationHistogram()
     queues = [
         keeper.pools[deployment.find_primary(_SERVICE).name].queue
         for proxy in deployment.proxies.values()
         for keeper in proxy.keeper_manager.keepers.values()
         if keeper.sessions
     ]
-    for _ in range(_LOOKS):
-        await curio.sleep(_PAUSE)
-        used.add(queues[0].held / queues[0].slots)
+    for _ in range(_SAMPLE_COUNT):
+        await curio.sleep(_PAUSE_S)
+        used_fractions.add(queues[0].held / queues[0].slots)
     await load.finish()
     await deployment.close()
-    return used.percentile(_MEDIAN)
+    return used_fractions.percentile(_MEDIAN_PERCENTILE)
 
 
-class _OneLine(FairQueue):
-    """Serves all groups in one line: the naive policy."""
+class _FifoQueue(FairQueue):
+    """Naive policy: one FIFO queue for all groups."""
 
     async def acquire(
         self,
@@ -148,12 +154,12 @@
         patience: float = math.inf,
         owner: str = '',
     ) -> Permit | Refusal:
-        """Wait behind everybody who came before."""
+        """Wait behind all earlier requests, of any group."""
         return await super().acquire('everybody', limit)
 
 
-def _install_one_line(deployment: Deployment) -> None:
+def _install_fifo_queues(deployment: Deployment) -> None:
     for proxy in deployment.proxies.values():
         for keeper in proxy.keeper_manager.keepers.values():
             for pool in keeper.pools.values():
-                pool.queue = _OneLine(pool.queue.slots, {})
+                pool.queue = _FifoQueue(pool.queue.slots, {})
--- a/deckdrum/bench/experiments/storms.py
+++ b/deckdrum/bench/experiments/storms.py
@@ -1,4 +1,4 @@
-"""``retry-storm``: databases slow down ten times, and callers ask again."""
+"""``retry-storm``: overload and slow databases while callers retry."""
 
 from dataclasses import replace
 from typing import Final
@@ -11,49 +11,55 @@
 from deckdrum.bench.loads import GroupLoad
 
 _SERVICE: Final = 'stalls'
-_STATEMENT_TIME: Final = 0.02
-_SLOWER: Final = 10
-_CONNECTIONS: Final = 10
-_CALLERS: Final = 24
-_PHASE: Final = 3.0
-_SLOW_PHASE: Final = 6.0
-_SLICE: Final = 0.5
-_KEPT: Final = 0.9
-_RECOVERY: Final = 5.0
-#: Longest wait for a connection that a service declares by default, seconds.
-_WAIT_LIMIT: Final = 5.0
+_STATEMENT_TIME_S: Final = 0.02
+_SLOWDOWN_FACTOR: Final = 10
+_MAX_CONNECTIONS: Final = 10
+_CALLER_COUNT: Final = 24
+_PHASE_DURATION_S: Final = 3.0
+_SLOW_PHASE_DURATION_S: Final = 6.0
+_SAMPLE_INTERVAL_S: Final = 0.5
+_MIN_GOODPUT_FRACTION: Final = 0.9
+_MAX_RECOVERY_S: Final = 5.0
+#: Default timeout of a service for waiting on a connection.
+_CONNECTION_TIMEOUT_S: Final = 5.0
 
 
 class RetryStorm(Experiment):
-    """Goodput when the load doubles and when databases slow down."""
+    """Goodput under doubled load, and recovery from slow databases."""
 
     name = 'retry-storm'
-    summary = 'twice the load, databases slow by ten times, then well again'
+    summary = 'goodput under doubled load, slow databases and recovery'
 
     async def run(self, seed: int) -> Findings:
         """Run the experiment and return its figures."""
         findings = Findings()
         deployment = await self._start(seed)
-        storm = GroupLoad(deployment, 'growers', 'SELECT 1', 0)
-        peak = await self._add_callers(storm)
-        twice = await self._add_callers(storm)
-        findings.note('peak goodput', peak, '1/s')
-        findings.at_least('goodput at twice the load', twice / peak, _KEPT)
-        self._set_speed(deployment, _STATEMENT_TIME * _SLOWER)
-        slow = await self._measure(storm, _SLOW_PHASE)
-        findings.note('goodput while slow', slow, '1/s')
-        self._set_speed(deployment, _STATEMENT_TIME)
-        recovery = await self._wait_recovered(storm, peak * _KEPT)
-        findings.at_most('recovered after', recovery, _RECOVERY, 's')
-        await storm.finish()
+        load = GroupLoad(deployment, 'growers', 'SELECT 1', 0)
+        peak = await self._add_callers(load)
+        doubled = await self._add_callers(load)
+        findings.record('peak goodput', peak, '1/s')
+        findings.at_least(
+            'goodput at twice the load', doubled / peak, _MIN_GOODPUT_FRACTION
+        )
+        self._set_statement_time(
+            deployment, _STATEMENT_TIME_S * _SLOWDOWN_FACTOR
+        )
+        slow = await self._measure_goodput(load, _SLOW_PHASE_DURATION_S)
+        findings.record('goodput while slow', slow, '1/s')
+        self._set_statement_time(deployment, _STATEMENT_TIME_S)
+        recovery = await self._wait_for_recovery(
+            load, peak * _MIN_GOODPUT_FRACTION
+        )
+        findings.at_most('recovered after', recovery, _MAX_RECOVERY_S, 's')
+        await load.finish()
         await deployment.close()
         findings.at_most(
             'longest wait of a caller',
-            storm.tally.longest,
-            _WAIT_LIMIT + _RECOVERY,
+            load.statistics.max_wait_s,
+            _CONNECTION_TIMEOUT_S + _MAX_RECOVERY_S,
             's',
         )
-        findings.note('refusals', storm.tally.refused)
+        findings.record('refusals', load.statistics.refusals)
         return findings
 
     async def _start(self, seed: int) -> Deployment:
@@ -61,35 +67,42 @@
             MARKET,
             services=(_SERVICE,),
             proxies=4,
-            max_connections=_CONNECTIONS,
+            max_connections=_MAX_CONNECTIONS,
             seed=seed,
         )
         deployment = Deployment(layout)
         await deployment.start()
-        self._set_speed(deployment, _STATEMENT_TIME)
+        self._set_statement_time(deployment, _STATEMENT_TIME_S)
         return deployment
 
-    def _set_speed(self, deployment: Deployment, seconds: float) -> None:
+    def _set_statement_time(
+        self, deployment: Deployment, seconds: float
+    ) -> None:
         for database in deployment.databases.values():
             database.profile.statement_time = seconds
 
-    async def _add_callers(self, storm: GroupLoad) -> float:
-        """Start callers more; return the answers a second with them."""
-        await storm.start(_CALLERS)
+    async def _add_callers(self, load: GroupLoad) -> float:
+        """Start more callers; return the resulting goodput."""
+        await load.start(_CALLER_COUNT)
         await curio.sleep(1)
-        return await self._measure(storm, _PHASE)
+        return await self._measure_goodput(load, _PHASE_DURATION_S)
 
-    async def _measure(self, storm: GroupLoad, seconds: float) -> float:
-        """Return the answers a second over the next seconds."""
-        began = await curio.clock()
+    async def _measure_goodput(self, load: GroupLoad, seconds: float) -> float:
+        """Return the completed requests per second over a duration."""
+        started_at = await curio.clock()
         await curio.sleep(seconds)
-        return storm.tally.count(began, await curio.clock()) / seconds
+        return (
+            load.statistics.count_between(started_at, await curio.clock())
+            / seconds
+        )
 
-    async def _wait_recovered(self, storm: GroupLoad, goodput: float) -> float:
-        began: float = await curio.clock()
-        async with curio.ignore_after(_RECOVERY * 2):
-            reached: float = 0
-            while reached < goodput:
-                reached = await self._measure(storm, _SLICE)
+    async def _wait_for_recovery(
+        self, load: GroupLoad, goodput: float
+    ) -> float:
+        started_at: float = await curio.clock()
+        async with curio.ignore_after(_MAX_RECOVERY_S * 2):
+            current: float = 0
+            while current < goodput:
+                current = await self._measure_goodput(load, _SAMPLE_INTERVAL_S)
         now: float = await curio.clock()
-        return now - began
+        return now - started_at
--- a/deckdrum/bench/history.py
+++ b/deckdrum/bench/history.py
@@ -1,7 +1,7 @@
-"""A record of what callers asked and were told, and its checker.
+"""History of the writes that callers issued, and its consistency checker.
 
-The checker is independent of the product: it compares the callers' record
-with the rows that the databases hold in the end.
+The checker relies on nothing in the proxy: it compares the outcomes reported
+to callers with the rows that the databases finally hold.
 """
 
 import json
@@ -14,7 +14,7 @@
 
 
 class ReportedOutcome(StrEnum):
-    """What a caller was told of a write."""
+    """Outcome of a write as reported to its caller."""
 
     DONE = 'done'
     NOT_RUN = 'not run'
@@ -22,9 +22,9 @@
 
 
 def parse_reported_outcome(answer: QueryResult) -> ReportedOutcome:
-    """Return what an answer says of the request.
+    """Return the outcome that an answer reports.
 
-    An error of the database itself counts as not run.
+    An error raised by the database itself counts as not run.
 
     Examples
     --------
@@ -42,14 +42,18 @@
 
 @dataclass(slots=True)
 class History:
-    """Writes by number, reads that went wrong, and counts.
+    """Reported outcomes of writes, and consistency violations of reads.
 
     Attributes
     ----------
-    writes : dict of int to Told
-        What callers were told of each write.
+    writes : dict of int to ReportedOutcome
+        Latest reported outcome of each write, by number.
     violations : list of str
-        What broke a promise while the load ran.
+        Consistency violations observed while the load ran.
+    reads : int
+        Completed reads that were checked.
+    checks : int
+        Acknowledged writes that those reads had to return.
     """
 
     writes: dict[int, ReportedOutcome] = field(default_factory=dict)
@@ -57,49 +61,53 @@
     reads: int = 0
     checks: int = 0
 
-    def record_write(self, number: int, told: ReportedOutcome) -> None:
-        """Note what became of a write."""
-        self.writes[number] = told
+    def record_write(self, number: int, outcome: ReportedOutcome) -> None:
+        """Record the reported outcome of a write."""
+        self.writes[number] = outcome
 
     def record_violation(self, text: str) -> None:
-        """Note a broken promise."""
+        """Record a consistency violation."""
         self.violations.append(text)
 
-    def count(self, told: ReportedOutcome) -> int:
-        """Return the writes of which callers were told `told`."""
-        return sum(each is told for each in self.writes.values())
+    def count(self, outcome: ReportedOutcome) -> int:
+        """Return the number of writes reported as `outcome`."""
+        return sum(each is outcome for each in self.writes.values())
 
     def check_rows(self, rows: Iterable[int]) -> list[str]:
-        """Compare the record with the rows that are there in the end.
+        """Compare the history with the rows that the database finally holds.
 
         Parameters
         ----------
         rows : iterable of int
-            Numbers of the rows, repeated if a row is there twice.
+            Numbers of the rows; a duplicated row appears repeatedly.
 
         Returns
         -------
         list of str
-            Every broken promise.
+            All violations, including those recorded earlier.
         """
         counts = Counter(rows)
-        found = list(self.violations)
-        for number, told in self.writes.items():
-            found.extend(_judge(number, told, counts))
-        strange = counts.keys() - self.writes.keys()
-        found.extend(f'row {each} was never asked for' for each in strange)
-        return found
-
-
-def _judge(
-    number: int, told: ReportedOutcome, counts: Mapping[int, int]
+        problems = list(self.violations)
+        for number, outcome in self.writes.items():
+            problems.extend(_check_write(number, outcome, counts))
+        unexpected = counts.keys() - self.writes.keys()
+        problems.extend(
+            f'row {each} was not written by any caller' for each in unexpected
+        )
+        return problems
+
+
+def _check_write(
+    number: int, outcome: ReportedOutcome, counts: Mapping[int, int]
 ) -> list[str]:
     count = counts[number]
-    found = []
+    problems = []
     if count > 1:
-        found.append(f'write {number} was doubled')
-    if told is ReportedOutcome.DONE and count == 0:
-        found.append(f'acknowledged write {number} was lost')
-    if told is ReportedOutcome.NOT_RUN and count:
-        found.append(f'write {number} was told not run, and ran')
-    return found
+        problems.append(f'write {number} was doubled')
+    if outcome is ReportedOutcome.DONE and count == 0:
+        problems.append(f'acknowledged write {number} was lost')
+    if outcome is ReportedOutcome.NOT_RUN and count:
+        problems.append(
+            f'write {number} was reported as not run but was executed'
+        )
+    return problems
--- a/deckdrum/bench/loads.py
+++ b/deckdrum/bench/loads.py
@@ -1,4 +1,4 @@
-"""Callers of one group that run one statement over and over."""
+"""Load generator: callers of one group repeating one statement."""
 
 import json
 from dataclasses import dataclass, field
@@ -11,70 +11,86 @@
 from deckdrum.databases import QueryResult
 
 _SERVICE: Final = 'stalls'
-#: Pause after a refusal that advises none, in seconds.
-_PAUSE: Final = 1.0
+#: Used after a refusal without `retry_after_seconds`.
+_DEFAULT_RETRY_DELAY_S: Final = 1.0
 
 
 @dataclass(slots=True)
-class Tally:
-    """What one group got: times and moments of answers, and refusals."""
+class LoadStatistics:
+    """Answers and refusals that the callers of one group received.
+
+    Attributes
+    ----------
+    durations : DurationHistogram
+        Response times of successful requests.
+    completion_times : list of float
+        When those requests completed.
+    refusals : int
+        Number of failed requests.
+    max_wait_s : float
+        Longest time until an answer, successful or not.
+    """
 
-    times: DurationHistogram = field(default_factory=DurationHistogram)
-    done_at: list[float] = field(default_factory=list)
-    refused: int = 0
-    longest: float = 0
+    durations: DurationHistogram = field(default_factory=DurationHistogram)
+    completion_times: list[float] = field(default_factory=list)
+    refusals: int = 0
+    max_wait_s: float = 0
 
-    def count(self, start: float, end: float) -> int:
-        """Return the answers between two moments."""
-        return sum(start <= at < end for at in self.done_at)
+    def count_between(self, start: float, end: float) -> int:
+        """Return the number of requests completed in an interval."""
+        return sum(start <= at < end for at in self.completion_times)
 
 
 @dataclass(slots=True)
 class GroupLoad:
-    """Callers of one group; they ask again when they are told to.
+    """Callers of one group, which retry refused requests as advised.
 
-    `pause` is a caller's rest after an answer, in seconds.
+    `pause` is the delay after a successful answer, in seconds.
     """
 
     deployment: Deployment
     group: str
     statement: str
     pause: float
-    tally: Tally = field(default_factory=Tally)
-    is_over: bool = False
+    statistics: LoadStatistics = field(default_factory=LoadStatistics)
+    is_stopping: bool = False
     _tasks: list[Any] = field(default_factory=list)
 
     async def start(self, callers: int) -> None:
-        """Start callers, spread over the proxies."""
+        """Start callers, distributed evenly over the proxies."""
         proxies = sorted(self.deployment.proxies)
-        for place in range(callers):
-            proxy = proxies[place % len(proxies)]
+        for index in range(callers):
+            proxy = proxies[index % len(proxies)]
             self._tasks.append(await curio.spawn(self._run, proxy))
 
-    async def finish(self) -> Tally:
-        """End the callers; return what they got."""
-        self.is_over = True
+    async def finish(self) -> LoadStatistics:
+        """Stop the callers and return their statistics."""
+        self.is_stopping = True
         for task in self._tasks:
             await task.join()
-        return self.tally
+        return self.statistics
 
     async def _run(self, proxy: str) -> None:
         client = await self.deployment.connect(proxy, self.group, _SERVICE)
-        while not self.is_over:
-            began = await curio.clock()
+        while not self.is_stopping:
+            started_at = await curio.clock()
             answer = await client.run(self.statement)
-            rest = self._note(answer, began, await curio.clock())
-            await curio.sleep(rest)
+            delay = self._record_answer(answer, started_at, await curio.clock())
+            await curio.sleep(delay)
         await client.close()
 
-    def _note(self, answer: QueryResult, began: float, now: float) -> float:
-        """Note an answer; return how long to rest."""
-        tally = self.tally
-        tally.longest = max(tally.longest, now - began)
+    def _record_answer(
+        self, answer: QueryResult, started_at: float, now: float
+    ) -> float:
+        """Record an answer; return the delay before the next request."""
+        statistics = self.statistics
+        statistics.max_wait_s = max(statistics.max_wait_s, now - started_at)
         if not answer.sqlstate:
-            tally.times.add(now - began)
-            tally.done_at.append(now)
+            statistics.durations.add(now - started_at)
+            statistics.completion_times.append(now)
             return self.pause
-        tally.refused += 1
-        told = json.loads(answer.detail or '{}')
-        return float(told.get('retry_after_seconds') or _PAUSE)
+        statistics.refusals += 1
+        refusal = json.loads(answer.detail or '{}')
+        return float(
+            refusal.get('retry_after_seconds') or _DEFAULT_RETRY_DELAY_S
+        )
--- a/deckdrum/bench/routers.py
+++ b/deckdrum/bench/routers.py
@@ -1,4 +1,4 @@
-"""Naive policies, for comparison in the same run."""
+"""Naive read routing policies, as baselines for comparison."""
 
 import itertools
 
@@ -11,7 +11,7 @@
 
 
 class PrimaryRouter(Router):
-    """Sends every read to the primary."""
+    """Routes every read to the primary."""
 
     async def choose(
         self,
@@ -26,7 +26,7 @@
 
 
 class RotatingRouter(Router):
-    """Sends reads to replicas in turn, whatever they have applied."""
+    """Routes reads to replicas round-robin, ignoring replication lag."""
 
     _turns = itertools.count()
 
@@ -36,7 +36,7 @@
         access: Access,
         limit: float,
     ) -> Route | Refusal:
-        """Return the route to the next replica."""
+        """Return the route to the next replica in rotation."""
         if access is Access.WRITE:
             return await super().choose(batch, access, limit)
         replicas = [name for name in self.pools if name != self.watch.primary]
@@ -45,7 +45,7 @@
 
 
 def install_router(deployment: Deployment, router_type: type[Router]) -> None:
-    """Have every keeper of a deployment route by another policy."""
+    """Replace the router of every keeper in a deployment."""
     for proxy in deployment.proxies.values():
         for keeper in proxy.keeper_manager.keepers.values():
             keeper.router = _make_router(keeper, router_type)
--- a/deckdrum/bench/runner.py
+++ b/deckdrum/bench/runner.py
@@ -1,4 +1,4 @@
-"""Running experiments and comparing them with the committed baseline."""
+"""Runs experiments and compares them with the committed baseline."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -18,12 +18,12 @@
 from deckdrum.bench.experiments.storms import RetryStorm
 from deckdrum.utils.virtualtime import run_virtual
 
-#: How far a figure may be from the baseline, as a share of it.
+#: Allowed regression relative to the baseline.
 TOLERANCE_FRACTION: Final = 0.25
-#: Differences below this never count (rounding of tiny figures).
-_LEAST: Final = 0.005
+#: Smaller absolute differences are ignored as rounding.
+_MIN_DIFFERENCE: Final = 0.005
 BASELINE_PATH: Final = Path(__file__).parent / 'baseline.json'
-_ALL: Final[tuple[Experiment, ...]] = (
+_REGISTERED: Final[tuple[Experiment, ...]] = (
     ReplicaReads(),
     FailoverGap(),
     FairShare(),
@@ -34,7 +34,7 @@
     Outcomes(),
 )
 EXPERIMENTS: Final[Mapping[str, Experiment]] = MappingProxyType(
-    {each.name: each for each in _ALL},
+    {each.name: each for each in _REGISTERED},
 )
 
 
@@ -45,12 +45,12 @@
 
 
 def describe(name: str, figures: list[Figure]) -> list[str]:
-    """Return the lines that a person reads."""
+    """Return the human-readable table of an experiment."""
     return format_figures(f'{name}: {EXPERIMENTS[name].summary}', figures)
 
 
 def encode(figures: Iterable[Figure]) -> list[dict[str, Any]]:
-    """Return figures as plain values for JSON."""
+    """Return figures as JSON-serializable dictionaries."""
     return [asdict(each) | {'is_met': each.is_met} for each in figures]
 
 
@@ -58,14 +58,14 @@
     found: Mapping[str, Iterable[Figure]],
     path: Path,
 ) -> None:
-    """Write figures as JSON."""
+    """Write the figures of all experiments as JSON."""
     encoded = {name: encode(figures) for name, figures in found.items()}
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(encoded, indent=1))
 
 
 def write_baseline(found: Mapping[str, Iterable[Figure]]) -> None:
-    """Make figures the committed baseline."""
+    """Overwrite the committed baseline."""
     plain = {
         name: {each.name: each.measured for each in figures}
         for name, figures in found.items()
@@ -74,7 +74,7 @@
 
 
 def read_baseline() -> dict[str, dict[str, float]]:
-    """Return the committed figures by experiment and name."""
+    """Return the baseline figures by experiment and figure name."""
     if not BASELINE_PATH.exists():
         return {}
     found: dict[str, dict[str, float]] = json.loads(BASELINE_PATH.read_text())
@@ -85,7 +85,7 @@
     figures: Iterable[Figure],
     baseline: Mapping[str, float],
 ) -> list[str]:
-    """Return figures with a bound that got worse than the baseline allows.
+    """Return bounded figures that regressed beyond the tolerance.
 
     Examples
     --------
@@ -96,12 +96,14 @@
     """
     found = []
     for each in figures:
-        before = baseline.get(each.name)
-        if before is None or each.side is None:
+        expected = baseline.get(each.name)
+        if expected is None or each.side is None:
             continue
-        worse = each.measured - before
+        difference = each.measured - expected
         if each.side.value == '>=':
-            worse = -worse
-        if worse > max(abs(before) * TOLERANCE_FRACTION, _LEAST):
-            found.append(f'{each.name}: {each.measured:g}, was {before:g}')
+            difference = -difference
+        if difference > max(
+            abs(expected) * TOLERANCE_FRACTION, _MIN_DIFFERENCE
+        ):
+            found.append(f'{each.name}: {each.measured:g}, was {expected:g}')
     return found
--- a/deckdrum/bench/slopes.py
+++ b/deckdrum/bench/slopes.py
@@ -1,7 +1,7 @@
-"""Slopes of the capacity page, measured on proxy processes over loopback.
+"""Resource costs for capacity planning, fitted by linear regression.
 
-The databases and the platform are stand-ins in this process; the proxies are
-processes of their own, whose memory and processor time the kernel accounts.
+Proxies run as separate processes, so that the kernel accounts their memory and
+CPU time; databases and the platform are stand-ins in this process.
 """
 
 import itertools
@@ -36,19 +36,19 @@
 _STATEMENT_COUNTS: Final = (0, 800, 1600, 2400)
 _SERVICE_COUNTS: Final = (1, 3, 6)
 _PROXY_COUNTS: Final = (2, 4, 8)
-_CLIENTS: Final = 8
-_CONTROL_SECONDS: Final = 4.0
-_QUIET_SECONDS: Final = 300.0
-_SETTLE: Final = 0.7
-_READY_LIMIT: Final = 60.0
-_POLL: Final = 0.1
-_PROBES: Final = 4
+_CLIENT_COUNT: Final = 8
+_CPU_WINDOW_S: Final = 4.0
+_STORE_CALL_WINDOW_S: Final = 300.0
+_SETTLE_DELAY_S: Final = 0.7
+_READY_TIMEOUT_S: Final = 60.0
+_POLL_INTERVAL_S: Final = 0.1
+_PROBE_COUNT: Final = 4
 _PERCENT: Final = 100
-_OK: Final = 200
-_MICROSECONDS: Final = 1_000_000
-_USER_TIME: Final = 13
-_SYSTEM_TIME: Final = 14
-_RESIDENT_PAGES: Final = 1
+_HTTP_OK: Final = 200
+_MICROSECONDS_PER_S: Final = 1_000_000
+_STAT_USER_TIME_FIELD: Final = 13
+_STAT_SYSTEM_TIME_FIELD: Final = 14
+_STATM_RESIDENT_FIELD: Final = 1
 _COMMAND: Final = (
     'import sys; from deckdrum.commands.proxy import main; '
     'sys.exit(main(sys.argv[1:]))'
@@ -57,18 +57,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A fitted line.
+    """A linear fit of a resource against load.
 
     Attributes
     ----------
     name, unit : str
-        What grows, and by which unit for each step.
+        The measured resource and its unit.
     slope, base : float
-        The fit.
+        Slope and intercept of the line.
     spread : float
-        Standard deviation of the points from the line, in the unit.
+        Standard deviation of the residuals, in `unit`.
     span : tuple of float
-        Range over which it was measured.
+        Measured range of the load.
     """
 
     name: str
@@ -85,7 +85,7 @@
     steps: Sequence[float],
     measured: Sequence[float],
 ) -> Slope:
-    """Fit a line through measured points.
+    """Fit a line to measured points by least squares.
 
     Examples
     --------
@@ -93,7 +93,7 @@
     5.0
     """
     line = linear_regression(steps, measured)
-    distances = [
+    residuals = [
         point - (line.intercept + line.slope * step)
         for step, point in zip(steps, measured, strict=True)
     ]
@@ -102,14 +102,14 @@
         unit,
         line.slope,
         line.intercept,
-        pstdev(distances),
+        pstdev(residuals),
         (min(steps), max(steps)),
     )
 
 
 @dataclass(slots=True)
 class ProxyProcess:
-    """One ``deckdrum-proxy`` process."""
+    """A ``deckdrum-proxy`` subprocess."""
 
     number: int
     platform: Address
@@ -123,27 +123,29 @@
 
     @property
     def cpu(self) -> float:
-        """Processor time so far, in seconds."""
+        """CPU time used so far, in seconds."""
         text = Path(f'/proc/{self.process.pid}/stat').read_text()
         fields = text.rsplit(')', 1)[1].split()
-        ticks = int(fields[_USER_TIME - 2]) + int(fields[_SYSTEM_TIME - 2])
+        ticks = int(fields[_STAT_USER_TIME_FIELD - 2]) + int(
+            fields[_STAT_SYSTEM_TIME_FIELD - 2]
+        )
         return ticks / os.sysconf('SC_CLK_TCK')
 
     @property
     def memory(self) -> int:
-        """Resident memory, in bytes."""
+        """Resident set size, in bytes."""
         text = Path(f'/proc/{self.process.pid}/statm').read_text()
-        pages = int(text.split()[_RESIDENT_PAGES])
+        pages = int(text.split()[_STATM_RESIDENT_FIELD])
         return pages * os.sysconf('SC_PAGE_SIZE')
 
     def get_address(self, offset: int) -> Address:
-        """Return one of the proxy's addresses."""
+        """Return the address at a port offset: 0 SQL, 1 peers, 2 admin."""
         return Address(_HOST, _FIRST_PORT + 10 * self.number + offset)
 
     async def start(self, deployment: Deployment) -> None:
         """Start the process and wait until it is ready."""
         path = Path(self.folder) / f'{self.name}.yaml'
-        path.write_text(yaml.safe_dump(self._describe()))
+        path.write_text(yaml.safe_dump(self._build_settings()))
         self.process = subprocess.Popen(
             [sys.executable, '-c', _COMMAND, str(path)],
             stderr=subprocess.DEVNULL,
@@ -155,21 +157,21 @@
             address=str(self.get_address(1)),
         )
         await deployment.platform.list_instance(instance, at_once=True)
-        async with curio.timeout_after(_READY_LIMIT):
+        async with curio.timeout_after(_READY_TIMEOUT_S):
             while not await self._is_ready():
-                await curio.sleep(_POLL)
+                await curio.sleep(_POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """End the process."""
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
     async def connect(self, service: str) -> Client:
-        """Log a caller in."""
+        """Connect a client to a service."""
         credentials = Credentials('growers-app', 'standin', 'bench', service)
         return await Client.connect(self.get_address(0), credentials)
 
-    def _describe(self) -> dict[str, object]:
+    def _build_settings(self) -> dict[str, object]:
         return {
             'name': self.name,
             'data_centre': 'ba-hall',
@@ -189,30 +191,30 @@
             return False
         finally:
             await client.close()
-        return reply.status == _OK
+        return reply.status == _HTTP_OK
 
 
 async def measure_proxy_processes() -> list[Slope]:
-    """Measure what needs proxy processes, in real time."""
-    found: list[Slope] = []
+    """Measure memory and CPU costs of proxy processes in real time."""
+    slopes: list[Slope] = []
     with tempfile.TemporaryDirectory() as folder:
         deployment = await _start_backends((_SERVICE,))
-        pair = [
+        proxies = [
             ProxyProcess(number, deployment.platform.address, folder)
             for number in (1, 2)
         ]
         try:
-            for proxy in pair:
+            for proxy in proxies:
                 await proxy.start(deployment)
-            keeper, entry = _tell_apart(pair)
-            found.append(await _measure_callers(entry))
-            found.extend(await _measure_statements(entry, keeper))
+            keeper, entry = _find_keeper_and_entry(proxies)
+            slopes.append(await _measure_callers(entry))
+            slopes.extend(await _measure_statements(entry, keeper))
         finally:
-            for proxy in pair:
+            for proxy in proxies:
                 proxy.stop()
             await deployment.close()
-        found.append(await _measure_control(folder))
-    return found
+        slopes.append(await _measure_kept_services(folder))
+    return slopes
 
 
 async def _start_backends(services: tuple[str, ...]) -> Deployment:
@@ -229,12 +231,12 @@
     return deployment
 
 
-def _tell_apart(
-    pair: Sequence[ProxyProcess],
+def _find_keeper_and_entry(
+    proxies: Sequence[ProxyProcess],
 ) -> tuple[ProxyProcess, ProxyProcess]:
-    """Return the keeper of the service and the other proxy."""
-    ranked = rank_keepers(_SERVICE, [proxy.name for proxy in pair])
-    named = {proxy.name: proxy for proxy in pair}
+    """Return the keeper of the service, then the other proxy."""
+    ranked = rank_keepers(_SERVICE, [proxy.name for proxy in proxies])
+    named = {proxy.name: proxy for proxy in proxies}
     return named[ranked[0]], named[ranked[1]]
 
 
@@ -244,7 +246,7 @@
     for count in _CALLER_COUNTS:
         while len(clients) < count:
             clients.append(await entry.connect(_SERVICE))
-        await curio.sleep(_SETTLE)
+        await curio.sleep(_SETTLE_DELAY_S)
         measured.append(entry.memory)
     for client in clients:
         await client.close()
@@ -255,11 +257,11 @@
     entry: ProxyProcess,
     keeper: ProxyProcess,
 ) -> list[Slope]:
-    clients = [await entry.connect(_SERVICE) for _ in range(_CLIENTS)]
+    clients = [await entry.connect(_SERVICE) for _ in range(_CLIENT_COUNT)]
     cpu: dict[str, list[float]] = {'entry': [0], 'keeper': [0]}
     for before, count in itertools.pairwise(_STATEMENT_COUNTS):
         start = entry.cpu, keeper.cpu
-        each = (count - before) // _CLIENTS
+        each = (count - before) // _CLIENT_COUNT
         async with curio.TaskGroup() as tasks:
             for client in clients:
                 await tasks.spawn(_run_statements, client, each)
@@ -272,7 +274,7 @@
             f'processor time of a current read, {role}',
             'us',
             _STATEMENT_COUNTS,
-            [seconds * _MICROSECONDS for seconds in measured],
+            [seconds * _MICROSECONDS_PER_S for seconds in measured],
         )
         for role, measured in cpu.items()
     ]
@@ -283,16 +285,16 @@
         await client.run('SELECT 1')
 
 
-async def _measure_control(folder: str) -> Slope:
-    """Measure a quiet proxy's processor share for each kept service."""
-    shares = []
+async def _measure_kept_services(folder: str) -> Slope:
+    """Measure the CPU usage of an idle proxy per kept service."""
+    percentages = []
     for count in _SERVICE_COUNTS:
-        services = tuple(f'service{place}' for place in range(count))
+        services = tuple(f'service{index}' for index in range(count))
         deployment = await _start_backends(services)
         proxy = ProxyProcess(3, deployment.platform.address, folder)
         try:
             await proxy.start(deployment)
-            shares.append(await _measure_share(proxy))
+            percentages.append(await _measure_idle_cpu_percent(proxy))
         finally:
             proxy.stop()
             await deployment.close()
@@ -300,12 +302,12 @@
         'processor share of a kept service, quiet',
         '%',
         _SERVICE_COUNTS,
-        shares,
+        percentages,
     )
 
 
 async def measure_probe_bytes() -> Slope:
-    """Count the payload bytes of probes, both ways."""
+    """Measure the payload bytes of a probe in both directions."""
     deployment = await _start_backends((_SERVICE,))
     entry = DatabaseEntry(
         name='stalls-1',
@@ -314,9 +316,9 @@
     )
     credentials = Credentials('deckdrum', 'standin', 'bench')
     database = PostgresDatabase(entry, credentials)
-    link = await database.connect(_READY_LIMIT)
+    link = await database.connect(_READY_TIMEOUT_S)
     totals = [0]
-    for _ in range(_PROBES):
+    for _ in range(_PROBE_COUNT):
         await link.send(database.state_request)
         total = totals[-1] + len(database.state_request)
         tag = b''
@@ -327,45 +329,45 @@
         totals.append(total)
     await link.close()
     await deployment.close()
-    return fit_line('payload of a probe', 'B', range(_PROBES + 1), totals)
+    return fit_line('payload of a probe', 'B', range(_PROBE_COUNT + 1), totals)
 
 
-async def _measure_share(proxy: ProxyProcess) -> float:
-    """Return the share of a core that a quiet proxy uses, in per cent."""
-    await curio.sleep(_SETTLE)
+async def _measure_idle_cpu_percent(proxy: ProxyProcess) -> float:
+    """Return the CPU usage of an idle proxy, in percent of one core."""
+    await curio.sleep(_SETTLE_DELAY_S)
     before = proxy.cpu
-    await curio.sleep(_CONTROL_SECONDS)
-    return (proxy.cpu - before) / _CONTROL_SECONDS * _PERCENT
+    await curio.sleep(_CPU_WINDOW_S)
+    return (proxy.cpu - before) / _CPU_WINDOW_S * _PERCENT
 
 
 async def measure_store_call_rate(proxies: int) -> float:
-    """Return the platform's calls a second on a quiet day, in virtual time."""
+    """Return the store calls per second of an idle fleet in virtual time."""
     layout = replace(Layout(), services=(_SERVICE,), proxies=proxies)
     deployment = Deployment(layout)
     await deployment.start()
-    await curio.sleep(_SETTLE)
+    await curio.sleep(_SETTLE_DELAY_S)
     before = sum(deployment.platform.calls.values())
-    await curio.sleep(_QUIET_SECONDS)
+    await curio.sleep(_STORE_CALL_WINDOW_S)
     calls = sum(deployment.platform.calls.values()) - before
     await deployment.close()
-    return calls / _QUIET_SECONDS
+    return calls / _STORE_CALL_WINDOW_S
 
 
 def measure_all() -> list[Slope]:
-    """Measure every slope of the capacity page."""
-    found: list[Slope] = curio.run(measure_proxy_processes)
-    found.append(run_virtual(measure_probe_bytes))
+    """Measure all slopes listed in ``docs/CAPACITY.md``."""
+    slopes: list[Slope] = curio.run(measure_proxy_processes)
+    slopes.append(run_virtual(measure_probe_bytes))
     calls = [
         run_virtual(measure_store_call_rate, each) for each in _PROXY_COUNTS
     ]
-    found.append(
+    slopes.append(
         fit_line('store calls of a proxy, quiet', '1/s', _PROXY_COUNTS, calls),
     )
-    return found
+    return slopes
 
 
 def format_slopes(slopes: Sequence[Slope]) -> str:
-    """Return the table of the capacity page."""
+    """Return the slopes as a Markdown table."""
     lines = [
         '| slope | for each step | base | spread | measured from .. to |',
         '|---|---|---|---|---|',
--- a/deckdrum/bench/tests/test_experiments.py
+++ b/deckdrum/bench/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""The quick experiments keep their bounds and their baseline."""
+"""Fast experiments meet their bounds and reproduce the baseline."""
 
 import pytest
 
@@ -11,5 +11,5 @@
     assert [each.name for each in figures if not each.is_met] == []
     baseline = runner.read_baseline()[name]
     assert runner.find_regressions(figures, baseline) == []
-    # The same seed gives the same figures.
+    # Figures are deterministic for a given seed.
     assert {each.name: each.measured for each in figures} == baseline
--- a/deckdrum/bench/workload.py
+++ b/deckdrum/bench/workload.py
@@ -1,4 +1,7 @@
-"""Callers that write, read back and roam between proxies."""
+"""Load generator: callers that check reading their own writes.
+
+Each request goes to a proxy chosen at random.
+"""
 
 import itertools
 from collections.abc import Iterator
@@ -18,7 +21,7 @@
 )
 
 TABLE: Final = 'bookings'
-_RECONNECT_PAUSE: Final = 0.05
+_RECONNECT_DELAY_S: Final = 0.05
 
 
 async def create_table(
@@ -26,17 +29,19 @@
     service: str,
     group: str = 'growers',
 ) -> None:
-    """Create the table that the load uses."""
+    """Create the table into which the load writes."""
     proxy = min(deployment.proxies)
     client = await deployment.connect(proxy, group, service)
     answer = await client.run(f'CREATE TABLE {TABLE} (id int, writer text)')
     await client.close()
     if answer.sqlstate:
-        raise RuntimeError(f'no table: {answer.text}')
+        raise RuntimeError(
+            f'cannot create the table of the load: {answer.text}'
+        )
 
 
 def read_rows(deployment: Deployment, service: str) -> list[int]:
-    """Return the numbers of the rows that the primary holds."""
+    """Return the write numbers stored on the primary."""
     primary = deployment.find_primary(service)
     link = primary.engine.connect()
     rows = link.execute(f'SELECT id FROM {TABLE}').fetchall()
@@ -48,9 +53,9 @@
     deployment: Deployment,
     accesses: tuple[str, ...] = ('current', 'aged'),
 ) -> float:
-    """Return the share of answered reads that replicas served."""
+    """Return the fraction of successful reads served by replicas."""
     on_replicas = 0
-    in_all = 0
+    total = 0
     for proxy in deployment.proxies.values():
         for access in accesses:
             count = partial(
@@ -59,15 +64,16 @@
                 outcome='done',
             )
             on_replicas += count(target='replica')
-            in_all += count()
-    return on_replicas / in_all if in_all else 0
+            total += count()
+    return on_replicas / total if total else 0
 
 
 @dataclass(slots=True)
 class LoadProfile:
-    """How a load behaves; times in seconds.
+    """Parameters of a load; times in seconds.
 
-    `read_kind` is the kind of read by which a caller reads back.
+    Each caller repeats one write, `reads_each` reads of kind `read_kind` and
+    a delay of `pause`.
     """
 
     pause: float = 0.05
@@ -79,23 +85,23 @@
 
 @dataclass(slots=True)
 class Load:
-    """Callers that write, and check by reading on another proxy.
+    """Callers that write, and read their writes back through any proxy.
 
     Parameters
     ----------
     deployment : Deployment
-        What is loaded.
-    pace : Pace
-        How each caller behaves.
-    randomness : random.Random
-        Chooses proxies.
+        Target of the load.
+    profile : LoadProfile
+        Parameters of each caller.
+    rng : random.Random
+        Selects proxies.
     """
 
     deployment: Deployment
-    pace: LoadProfile
-    randomness: Random
+    profile: LoadProfile
+    rng: Random
     history: History = field(default_factory=History)
-    is_over: bool = False
+    is_stopping: bool = False
     _numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
     _tasks: list[Any] = field(default_factory=list)
 
@@ -106,8 +112,8 @@
             self._tasks.append(task)
 
     async def finish(self) -> History:
-        """Let the callers finish what they do; return the record."""
-        self.is_over = True
+        """Wait for requests in progress to finish; return the history."""
+        self.is_stopping = True
         for task in self._tasks:
             await task.join()
         return self.history
@@ -122,23 +128,23 @@
 
     async def _run_caller(self, name: str) -> None:
         caller = RoamingCaller(self, name)
-        while not self.is_over:
+        while not self.is_stopping:
             await caller.write()
-            for _ in range(self.pace.reads_each):
+            for _ in range(self.profile.reads_each):
                 await caller.read_back()
-            await curio.sleep(self.pace.pause)
+            await curio.sleep(self.profile.pause)
         await caller.leave()
 
 
 class RoamingCaller:
-    """One caller whose session moves between proxies.
+    """A caller whose session moves between proxies.
 
     Parameters
     ----------
     load : Load
-        To which it belongs.
+        Load to which the caller belongs.
     name : str
-        Written into its rows.
+        Stored in the `writer` column of its rows.
     """
 
     def __init__(self, load: Load, name: str) -> None:
@@ -146,13 +152,13 @@
         self._name = name
         self._clients: dict[str, Client] = {}
         self._token = ''
-        self._done: set[int] = set()
+        self._acknowledged: set[int] = set()
 
     async def write(self) -> None:
-        """Insert a row and note what was told."""
+        """Insert a row and record the reported outcome."""
         number = self._load.allocate_write_number()
         self._load.history.record_write(number, ReportedOutcome.UNKNOWN)
-        client = await self._move()
+        client = await self._choose_client()
         if client is None:
             self._load.history.record_write(number, ReportedOutcome.NOT_RUN)
             return
@@ -163,19 +169,19 @@
         except ConnectionError:
             await self.leave()
             return
-        told = parse_reported_outcome(answer)
-        self._load.history.record_write(number, told)
+        outcome = parse_reported_outcome(answer)
+        self._load.history.record_write(number, outcome)
         self._token = client.token or self._token
-        if told is ReportedOutcome.DONE:
-            self._done.add(number)
+        if outcome is ReportedOutcome.DONE:
+            self._acknowledged.add(number)
 
     async def read_back(self) -> None:
-        """Read own rows on another proxy and check that all are there."""
-        client = await self._move()
+        """Check that a read returns all acknowledged writes of this caller."""
+        client = await self._choose_client()
         if client is None:
             return
         query = f"SELECT id FROM {TABLE} WHERE writer = '{self._name}'"
-        expected = set(self._done)
+        expected = set(self._acknowledged)
         try:
             answer = await client.run(query)
         except ConnectionError:
@@ -190,23 +196,26 @@
         missing = expected - {int(row[0] or 0) for row in answer.rows}
         if missing:
             history.record_violation(
-                f'{self._name} does not see its writes {sorted(missing)}',
+                f'{self._name} does not read its own writes {sorted(missing)}',
             )
 
     async def leave(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         for client in self._clients.values():
             await client.close()
         self._clients.clear()
 
-    async def _move(self) -> Client | None:
-        """Go on at a proxy chosen at random, as a balancer would."""
+    async def _choose_client(self) -> Client | None:
+        """Resume the session at a random proxy, like a load balancer.
+
+        Returns None if the connection fails.
+        """
         serving = sorted(
             name
             for name, proxy in self._load.deployment.proxies.items()
             if proxy.is_ready
         )
-        name = self._load.randomness.choice(serving)
+        name = self._load.rng.choice(serving)
         try:
             client = self._clients.get(name) or await self._connect(name)
             self._clients[name] = client
@@ -214,15 +223,15 @@
                 await client.run(f"SET deckdrum.session = '{self._token}'")
         except ConnectionError:
             self._clients.pop(name, None)
-            await curio.sleep(_RECONNECT_PAUSE)
+            await curio.sleep(_RECONNECT_DELAY_S)
             return None
         return client
 
     async def _connect(self, proxy: str) -> Client:
-        pace = self._load.pace
+        profile = self._load.profile
         return await self._load.deployment.connect(
             proxy,
-            pace.group,
-            pace.service,
-            read_kind=pace.read_kind,
+            profile.group,
+            profile.service,
+            read_kind=profile.read_kind,
         )
