--- a/deckdrum/backends/base.py
+++ b/deckdrum/backends/base.py
@@ -79,7 +79,7 @@
     started_at: int = 0
 
     def is_same_incarnation_as(self, other: 'BackendServer') -> bool:
-        """Tell whether this may be the same incarnation of a server.
+        """Return whether this may be the same incarnation of a server.
 
         Examples
         --------
@@ -108,14 +108,14 @@
         Term that it leads or follows.
     received : Position
         End of the log that it has received.
-    held_term : int
+    fenced_term : int
         Term for which it is fenced; 0 if it is not.
     """
 
     role: ServerRole
     term: int
     received: Position
-    held_term: int
+    fenced_term: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -129,13 +129,13 @@
         statement has on the connection.
     request_id : str
         Id given by the caller; empty for internal operations.
-    floor : Position or None
+    min_position : Position or None
         Log position that the server must have, else it refuses.
     """
 
     operation: Operation
     request_id: str = ''
-    floor: Position | None = None
+    min_position: Position | None = None
 
 
 @dataclass(slots=True)
@@ -166,7 +166,7 @@
         self.on_hand_back: Callable[[BackendLink], Awaitable[None]] | None
         self.on_hand_back = None
         #: Position of the server's log at the time of opening, if known.
-        self.opened_at: Position | None = None
+        self.position_at_open: Position | None = None
 
     async def hand_back(self) -> None:
         """Return a borrowed connection to its lender, or close an own one."""
--- a/deckdrum/backends/pool.py
+++ b/deckdrum/backends/pool.py
@@ -122,7 +122,7 @@
     ) -> None:
         self.database = database
         self.queue = FairQueue(slots, shares)
-        self.figures = ConnectionStats()
+        self.stats = ConnectionStats()
         self._idle: list[LinkT] = []
         self._rates = DecayingUseCounts()
 
@@ -137,14 +137,14 @@
         return len(self._idle) + self.queue.held > self.queue.slots
 
     def has_idle(self, workspace: str) -> bool:
-        """Tell whether a connection owned by a workspace is idle."""
+        """Return whether a connection owned by a workspace is idle."""
         return any(link.workspace == workspace for link in self._idle)
 
     async def acquire(
         self,
         group: str,
         timeout: float,
-        fits: Callable[[LinkT], bool] | None = None,
+        prefers: Callable[[LinkT], bool] | None = None,
         patience: float = math.inf,
         workspace: str | None = None,
     ) -> Lease[ServerT, LinkT] | Refusal:
@@ -156,8 +156,8 @@
             Member group of the request.
         timeout : float
             Longest wait in the queue, in seconds.
-        fits : callable, optional
-            Tells whether an idle connection is preferred for the request.
+        prefers : callable, optional
+            Whether an idle connection is preferred for the request.
         patience : float, optional
             Longest wait with which the request can still meet its deadline,
             in seconds.
@@ -178,7 +178,7 @@
         if isinstance(permit, Refusal):
             return permit
         try:
-            link = await self._get_link(group, fits, workspace)
+            link = await self._get_link(group, prefers, workspace)
         except (ConnectionError, curio.CancelledError):
             await self.queue.release(permit)
             raise
@@ -220,7 +220,7 @@
             link = await self.database.connect(CONNECT_TIMEOUT_S)
         except ConnectionError:
             return
-        self.figures.opened += 1
+        self.stats.opened += 1
         self._idle.append(link)
 
     async def trim(self) -> None:
@@ -236,20 +236,20 @@
     async def _get_link(
         self,
         group: str,
-        fits: Callable[[LinkT], bool] | None,
+        prefers: Callable[[LinkT], bool] | None,
         workspace: str | None,
     ) -> LinkT:
         if workspace:
-            self._rates.note(workspace)
-        link = self._pop_idle(fits, workspace)
+            self._rates.record_use(workspace)
+        link = self._pop_idle(prefers, workspace)
         while link is not None:
             if link.is_usable:
-                self.figures.reused += 1
+                self.stats.reused += 1
                 return link
             await link.close()
-            link = self._pop_idle(fits, workspace)
+            link = self._pop_idle(prefers, workspace)
         await self._evict_idle()
-        self.figures.opened += 1
+        self.stats.opened += 1
         opened: LinkT = await self.database.connect_for(
             group,
             CONNECT_TIMEOUT_S,
@@ -259,7 +259,7 @@
 
     def _pop_idle(
         self,
-        fits: Callable[[LinkT], bool] | None,
+        prefers: Callable[[LinkT], bool] | None,
         workspace: str | None,
     ) -> LinkT | None:
         """Remove the latest idle connection, preferably one that fits."""
@@ -273,7 +273,7 @@
         best = max(
             indexes,
             key=lambda index: (
-                fits is not None and fits(self._idle[index]),
+                prefers is not None and prefers(self._idle[index]),
                 index,
             ),
         )
@@ -286,6 +286,6 @@
         regardless of the order in which workspaces send requests.
         """
         while self._idle and self.has_surplus:
-            self.figures.closed_for_room += 1
+            self.stats.closed_for_room += 1
             owners = [link.workspace for link in self._idle]
             await self._idle.pop(self._rates.find_least_used(owners)).close()
--- a/deckdrum/backends/position_history.py
+++ b/deckdrum/backends/position_history.py
@@ -10,16 +10,16 @@
 _MIN_INTERVAL_S: Final = 0.01
 
 
-class History:
+class PositionHistory:
     """Log positions of the primary over time.
 
     All times are on one clock, so bounds of ages need no synchronized clocks.
 
     Examples
     --------
-    >>> history = History()
-    >>> history.note(term=1, offset=10, started_at=5.0)
-    >>> history.note(term=1, offset=30, started_at=6.0)
+    >>> history = PositionHistory()
+    >>> history.record(term=1, offset=10, started_at=5.0)
+    >>> history.record(term=1, offset=30, started_at=6.0)
     >>> history.bound_age(offset=20, now=6.5)
     1.5
     >>> history.bound_age(offset=30, now=6.5)
@@ -46,7 +46,7 @@
             return 0, float('-inf')
         return self._offsets[-1], self._times[-1]
 
-    def note(self, term: int, offset: int, started_at: float) -> None:
+    def record(self, term: int, offset: int, started_at: float) -> None:
         """Record a position that the primary of `term` reported.
 
         Parameters
@@ -96,9 +96,9 @@
 
         Examples
         --------
-        >>> history = History()
-        >>> history.note(term=1, offset=10, started_at=5.0)
-        >>> history.note(term=1, offset=30, started_at=6.0)
+        >>> history = PositionHistory()
+        >>> history.record(term=1, offset=10, started_at=5.0)
+        >>> history.record(term=1, offset=30, started_at=6.0)
         >>> history.find_last_seen_below(offset=30)
         5.0
         >>> history.find_last_seen_below(offset=31)
@@ -107,7 +107,7 @@
         index = bisect_left(self._offsets, offset)
         return self._times[index - 1] if index else float('-inf')
 
-    def find_floor(self, max_age: float, now: float) -> int | None:
+    def find_min_offset(self, max_age: float, now: float) -> int | None:
         """Return the lowest offset that is at most `max_age` seconds old.
 
         Data at or beyond that offset includes all changes acknowledged more
@@ -120,9 +120,9 @@
 
         Examples
         --------
-        >>> history = History()
-        >>> history.note(term=1, offset=10, started_at=5.0)
-        >>> history.note(term=1, offset=30, started_at=6.0)
+        >>> history = PositionHistory()
+        >>> history.record(term=1, offset=10, started_at=5.0)
+        >>> history.record(term=1, offset=30, started_at=6.0)
         >>> history.find_floor(max_age=2.0, now=6.5)
         10
         >>> history.find_floor(max_age=0.2, now=6.5)
--- a/deckdrum/backends/tests/test_history.py
+++ b/deckdrum/backends/tests/test_history.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from deckdrum.backends.position_history import History
+from deckdrum.backends.position_history import PositionHistory
 
 
 @settings(derandomize=True)
@@ -19,14 +19,14 @@
     steps: list[tuple[float, int]],
     offset: int,
 ) -> None:
-    history = History()
+    history = PositionHistory()
     now: float = 0
     position = 0
     first_beyond: float | None = None
     for seconds, grown in steps:
         now += seconds
         position += grown
-        history.note(1, position, now)
+        history.record(1, position, now)
         if position > offset and first_beyond is None:
             first_beyond = now
     # A replica at `offset` lacks all changes from `first_beyond` on.
@@ -35,18 +35,18 @@
 
 
 def test_positions_of_an_older_term_are_discarded() -> None:
-    history = History()
-    history.note(1, 100, 1)
-    history.note(2, 101, 2)
+    history = PositionHistory()
+    history.record(1, 100, 1)
+    history.record(2, 101, 2)
     assert history.bound_age(100, 3) == float('inf')
 
 
 def test_offset_was_appended_after_the_primary_was_last_seen_below() -> None:
-    history = History()
-    history.note(1, 10, 5.0)
-    history.note(1, 10, 8.0)
-    history.note(1, 30, 9.0)
-    history.note(1, 40, 10.0)
+    history = PositionHistory()
+    history.record(1, 10, 5.0)
+    history.record(1, 10, 8.0)
+    history.record(1, 30, 9.0)
+    history.record(1, 40, 10.0)
     assert history.find_last_seen_below(10) == float('-inf')
     assert history.find_last_seen_below(11) == 8.0
     assert history.find_last_seen_below(30) == 8.0
--- a/deckdrum/bench/demo.py
+++ b/deckdrum/bench/demo.py
@@ -149,8 +149,8 @@
     return lambda: proxy.view.number >= number
 
 
-async def _wait(check: Callable[[], bool], limit: float) -> bool:
-    async with curio.ignore_after(limit):
+async def _wait(check: Callable[[], bool], timeout: float) -> bool:
+    async with curio.ignore_after(timeout):
         while not check():
             await curio.sleep(_POLL)
     return check()
--- a/deckdrum/bench/experiments/base.py
+++ b/deckdrum/bench/experiments/base.py
@@ -61,7 +61,7 @@
 
     figures: list[Figure] = field(default_factory=list)
 
-    def note(
+    def record(
         self,
         name: str,
         measured: float,
--- a/deckdrum/bench/experiments/outages.py
+++ b/deckdrum/bench/experiments/outages.py
@@ -108,7 +108,7 @@
         before = sum(platform.calls.values())
         await curio.sleep(_OUTAGE)
         calls = (sum(platform.calls.values()) - before) / _OUTAGE
-        findings.note('down: calls a second of the fleet', calls)
+        findings.record('down: calls a second of the fleet', calls)
         platform.faults.down = False
         await self._watch_return(deployment, findings)
 
@@ -158,7 +158,7 @@
         before = sum(platform.calls.values())
         await curio.sleep(_OUTAGE)
         quiet = (sum(platform.calls.values()) - before) / _OUTAGE
-        findings.note('slow: calls a second of the fleet', quiet)
+        findings.record('slow: calls a second of the fleet', quiet)
 
 
 class ConfigRaces(Experiment):
--- a/deckdrum/bench/experiments/outcomes.py
+++ b/deckdrum/bench/experiments/outcomes.py
@@ -169,5 +169,5 @@
         found = Findings()
         found.at_most('untrue', broken, 0)
         for each in ReportedOutcome:
-            found.note(each.value, told[each])
+            found.record(each.value, told[each])
         return found
--- a/deckdrum/bench/experiments/reads.py
+++ b/deckdrum/bench/experiments/reads.py
@@ -179,5 +179,5 @@
         longest = round(trips + layout.apply_lag, 4)
         tail = load.current_times.percentile(_TAIL)
         found.at_most('p99 of current reads', tail, longest, 's')
-        found.note('current reads', load.current_times.count)
+        found.record('current reads', load.current_times.count)
         return found.figures
--- a/deckdrum/bench/experiments/rolling.py
+++ b/deckdrum/bench/experiments/rolling.py
@@ -93,13 +93,15 @@
         findings.at_most(
             'writes unknown', history.count(ReportedOutcome.UNKNOWN), 0
         )
-        findings.note(
+        findings.record(
             'writes acknowledged', history.count(ReportedOutcome.DONE)
         )
-        findings.note('writes not run', history.count(ReportedOutcome.NOT_RUN))
+        findings.record(
+            'writes not run', history.count(ReportedOutcome.NOT_RUN)
+        )
         undrained = replacement.drained.count(False)
         findings.at_most('proxies that did not drain', undrained, 0)
-        findings.note('proxies replaced', len(replacement.drained))
+        findings.record('proxies replaced', len(replacement.drained))
         findings.at_most(
             'connections of a database',
             replacement.most_connections,
--- a/deckdrum/bench/experiments/shares.py
+++ b/deckdrum/bench/experiments/shares.py
@@ -92,7 +92,7 @@
         findings = Findings()
         calm, _ = await _run_groups(seed, 'none')
         base = calm.times.percentile(_TAIL)
-        findings.note('quiet p99 alone', base, 's')
+        findings.record('quiet p99 alone', base, 's')
         for burst in ('quick', 'slow', 'idle'):
             quiet, noisy = await _run_groups(seed, burst)
             naive, _ = await _run_groups(seed, burst, is_naive=True)
@@ -108,8 +108,8 @@
                 _SHARE,
                 naive=naive.times.count / calm.times.count,
             )
-            findings.note(f'{burst}: burst answered', noisy.times.count)
-            findings.note(f'{burst}: burst refused', noisy.refused)
+            findings.record(f'{burst}: burst answered', noisy.times.count)
+            findings.record(f'{burst}: burst refused', noisy.refused)
         used = await _lend(seed)
         findings.at_least('connections used by a group alone', used, _SHARE)
         return findings
@@ -144,12 +144,12 @@
     async def acquire(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         patience: float = math.inf,
         owner: str = '',
     ) -> Permit | Refusal:
         """Wait behind everybody who came before."""
-        return await super().acquire('everybody', limit)
+        return await super().acquire('everybody', timeout)
 
 
 def _install_one_line(deployment: Deployment) -> None:
--- a/deckdrum/bench/experiments/storms.py
+++ b/deckdrum/bench/experiments/storms.py
@@ -37,11 +37,11 @@
         storm = GroupLoad(deployment, 'growers', 'SELECT 1', 0)
         peak = await self._add_callers(storm)
         twice = await self._add_callers(storm)
-        findings.note('peak goodput', peak, '1/s')
+        findings.record('peak goodput', peak, '1/s')
         findings.at_least('goodput at twice the load', twice / peak, _KEPT)
         self._set_speed(deployment, _STATEMENT_TIME * _SLOWER)
         slow = await self._measure(storm, _SLOW_PHASE)
-        findings.note('goodput while slow', slow, '1/s')
+        findings.record('goodput while slow', slow, '1/s')
         self._set_speed(deployment, _STATEMENT_TIME)
         recovery = await self._wait_recovered(storm, peak * _KEPT)
         findings.at_most('recovered after', recovery, _RECOVERY, 's')
@@ -53,7 +53,7 @@
             _WAIT_LIMIT + _RECOVERY,
             's',
         )
-        findings.note('refusals', storm.tally.refused)
+        findings.record('refusals', storm.tally.refused)
         return findings
 
     async def _start(self, seed: int) -> Deployment:
--- a/deckdrum/bench/routers.py
+++ b/deckdrum/bench/routers.py
@@ -17,12 +17,12 @@
         self,
         batch: RunBatch,
         access: Access,
-        limit: float,
+        timeout: float,
     ) -> Route | Refusal:
         """Return the route to the primary."""
         if access is Access.WRITE:
-            return await super().choose(batch, access, limit)
-        return await self.choose_primary(Reason.NO_REPLICA, limit)
+            return await super().choose(batch, access, timeout)
+        return await self.choose_primary(Reason.NO_REPLICA, timeout)
 
 
 class RotatingRouter(Router):
@@ -34,11 +34,11 @@
         self,
         batch: RunBatch,
         access: Access,
-        limit: float,
+        timeout: float,
     ) -> Route | Refusal:
         """Return the route to the next replica."""
         if access is Access.WRITE:
-            return await super().choose(batch, access, limit)
+            return await super().choose(batch, access, timeout)
         replicas = [name for name in self.pools if name != self.watch.primary]
         name = replicas[next(self._turns) % len(replicas)]
         return Route(self.pools[name], False, self.watch.term, Reason.REPLICA)
@@ -56,5 +56,5 @@
         keeper.service,
         keeper.watch,
         keeper.pools,
-        keeper.around.data_centre,
+        keeper.context.data_centre,
     )
--- a/deckdrum/callers/batches.py
+++ b/deckdrum/callers/batches.py
@@ -193,7 +193,7 @@
         if kind is not None and state.knows_min_position:
             access = Access.BOUNDED_STALENESS
             max_age = kind.max_age
-    min_position = state.token.floor(state.service)
+    min_position = state.token.min_position(state.service)
     return RunBatch(
         batch.payload,
         access.value,
--- a/deckdrum/callers/connection.py
+++ b/deckdrum/callers/connection.py
@@ -20,7 +20,7 @@
     WireError,
     encode_error,
     encode_parameter_status,
-    encode_ready,
+    encode_ready_for_query,
     tags,
 )
 from deckdrum.wire.messages import codec
@@ -144,7 +144,7 @@
                 ),
             )
         parts.append(codec.BackendKeyData(key.process, key.secret).to_wire())
-        parts.append(encode_ready(state.status))
+        parts.append(encode_ready_for_query(state.status))
         await self._stream.send(b''.join(parts))
 
     async def _handle(
@@ -166,7 +166,7 @@
                 await self._stream.send(payload)
                 return
         if batch.frames[-1].tag != tags.FLUSH:
-            payload += encode_ready(state.status)
+            payload += encode_ready_for_query(state.status)
         if payload:
             await self._stream.send(payload)
 
@@ -178,13 +178,13 @@
 
 
 def _has_ready(payload: bytes) -> bool:
-    """Tell whether a response already ends with ReadyForQuery."""
+    """Return whether a response already ends with ReadyForQuery."""
     ready = payload[-_READY_BYTES:]
     return ready.startswith(tags.READY)
 
 
 def _is_answered_locally(batch: Batch, execution: Execution) -> bool:
-    """Tell whether the proxy answers a batch without a database."""
+    """Return whether the proxy answers a batch without a database."""
     if batch.handling is not Handling.LOCAL:
         return False
     if batch.statements:
--- a/deckdrum/callers/execution.py
+++ b/deckdrum/callers/execution.py
@@ -19,7 +19,11 @@
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.sessions import Position
 from deckdrum.utils import Stream
-from deckdrum.wire import WireError, encode_parameter_status, encode_ready
+from deckdrum.wire import (
+    WireError,
+    encode_parameter_status,
+    encode_ready_for_query,
+)
 
 #: Keepers that are tried in turn for one batch.
 _MAX_KEEPER_ATTEMPTS: Final = 3
@@ -182,7 +186,7 @@
         )
 
     def _should_try_another_keeper(self, end: BatchEnd | Refusal) -> bool:
-        """Tell whether another keeper should be tried."""
+        """Return whether another keeper should be tried."""
         if isinstance(end, BatchEnd) or self._state.status != _IDLE:
             return False
         return end.code in _RETRY_ELSEWHERE_CODES
@@ -206,7 +210,7 @@
             )
         if end.status:
             state.status = end.status
-            parts.append(encode_ready(end.status))
+            parts.append(encode_ready_for_query(end.status))
         if end.status == _IDLE and self._opened is not None:
             opened = self._opened
             self._opened = None
--- a/deckdrum/callers/host.py
+++ b/deckdrum/callers/host.py
@@ -76,7 +76,7 @@
 
     @abstractmethod
     async def is_running(self, keeper: str) -> bool:
-        """Tell whether a keeper's process answers a heartbeat."""
+        """Return whether a keeper's process answers a heartbeat."""
 
     @abstractmethod
     async def cancel_channel(self, opened: OpenedChannel) -> None:
--- a/deckdrum/commands/bench.py
+++ b/deckdrum/commands/bench.py
@@ -86,7 +86,7 @@
         f'{count} {fate}'
         for fate, count in sorted(report.outcome_counts.items())
     )
-    broken = [f'  BROKEN {each}' for each in report.broken]
+    broken = [f'  BROKEN {each}' for each in report.violations]
     return [
         f'seed {seed}: {len(report.faults)} faults; {outcome_counts}',
         *broken,
--- a/deckdrum/commands/tests/test_explaining.py
+++ b/deckdrum/commands/tests/test_explaining.py
@@ -9,7 +9,7 @@
 import pytest
 
 from deckdrum.commands import control
-from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, play
+from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, run_scenario
 
 
 def write_logs(folder: Path) -> list[Path]:
@@ -20,12 +20,12 @@
         client = await deployment.connect(CURRENT)
         await client.send('QUERY id-before WRITE a 1')
         await client.read_reply()
-        deployment.group.primary.is_dark = True
+        deployment.group.primary.is_unresponsive = True
         await client.send('QUERY id-doubt WRITE a 2')
         await client.read_reply()
         await curio.sleep(3)
 
-    play(scenario, logs=sinks)
+    run_scenario(scenario, logs=sinks)
     paths = []
     for number, sink in enumerate(sinks):
         path = folder / f'n{number}.log'
--- a/deckdrum/control/__init__.py
+++ b/deckdrum/control/__init__.py
@@ -1,6 +1,6 @@
 """Control plane: the store's records, its interface and a node's view of it."""
 
-from deckdrum.control.access import Access, find_access
+from deckdrum.control.access import Access, authorize
 from deckdrum.control.feed import StoreFeed
 from deckdrum.control.records import (
     Configuration,
@@ -34,5 +34,5 @@
     'Route',
     'ServiceDeclaration',
     'StoreFeed',
-    'find_access',
+    'authorize',
 ]
--- a/deckdrum/control/access.py
+++ b/deckdrum/control/access.py
@@ -15,7 +15,7 @@
     workspace: Workspace
 
 
-def find_access(
+def authorize(
     configuration: Configuration | None,
     database: str,
     fingerprint: str,
--- a/deckdrum/control/feed.py
+++ b/deckdrum/control/feed.py
@@ -81,7 +81,7 @@
         #: Whether the followed peer is connected to the store.
         self._is_peer_connected = True
         #: Factor for the maximum backoff and the maximum wait for a probe.
-        self.sharing: float = 1
+        self.backoff_factor: float = 1
         #: Events of the calls of `wait_for_changes` in progress.
         self._waiters: set[Any] = set()
         view.on_change.append(self._notify_waiters)
@@ -104,7 +104,7 @@
         return not self._watching_directly.is_set()
 
     @property
-    def is_feeding(self) -> bool:
+    def can_serve_followers(self) -> bool:
         """Whether peers may follow this node: its own watches are working."""
         return self.is_synchronized and not self.is_following_peer
 
@@ -125,7 +125,7 @@
             except StoreError as error:
                 await self._set_reachable(kind, False, str(error))
                 await self._back_off(kind, pause)
-                pause = min(pause * 2, MAX_BACKOFF_S * self.sharing)
+                pause = min(pause * 2, MAX_BACKOFF_S * self.backoff_factor)
             else:
                 has_listing = True
                 pause = INITIAL_BACKOFF_S
@@ -143,13 +143,13 @@
             if not self.is_following_peer:
                 await self._watches.check()
 
-    async def follow(self, *, is_served: bool = True) -> None:
+    async def follow(self, *, is_peer_connected: bool = True) -> None:
         """Rely on the watches of a peer.
 
-        `is_served` tells whether that peer is connected to the store.
+        `is_peer_connected` tells whether that peer is connected to the store.
         """
         self._is_role_decided = True
-        self._is_peer_connected = is_served
+        self._is_peer_connected = is_peer_connected
         self._watching_directly.clear()
 
     async def probe(self) -> bool:
@@ -180,7 +180,7 @@
         self,
         revisions: Mapping[Kind, int],
         version: int,
-        limit: float,
+        timeout: float,
     ) -> None:
         """Wait until this node can serve a follower newer records than it has.
 
@@ -190,15 +190,16 @@
             The follower's revision of each kind.
         version : int
             The follower's configuration version.
-        limit : float
+        timeout : float
             Maximum wait in seconds.
         """
         wakeup = curio.Event()
         self._waiters.add(wakeup)
         try:
-            async with curio.ignore_after(limit):
+            async with curio.ignore_after(timeout):
                 while not (
-                    self.is_feeding and self._has_newer(revisions, version)
+                    self.can_serve_followers
+                    and self._has_newer(revisions, version)
                 ):
                     await wakeup.wait()
                     wakeup.clear()
@@ -219,7 +220,7 @@
         if kind is PROBING_KIND or self._reachable[PROBING_KIND]:
             await curio.sleep(pause * (0.5 + self._randomness.random()))
             return
-        async with curio.ignore_after(PROBE_TIMEOUT_S * self.sharing):
+        async with curio.ignore_after(PROBE_TIMEOUT_S * self.backoff_factor):
             await self._store_available.wait()
 
     async def _fetch_next(self, kind: Kind, has_listing: bool) -> None:
--- a/deckdrum/control/known.py
+++ b/deckdrum/control/known.py
@@ -20,16 +20,16 @@
     >>> cache.upsert(Entry('n1', 4, None))
     >>> cache.remove('n1', 7)
     >>> cache.revision = 7
-    >>> cache.read_update(5).entries
+    >>> cache.get_update(5).entries
     (Entry(name='n1', revision=7, record=None),)
-    >>> cache.read_update(3).entries
+    >>> cache.get_update(3).entries
     ()
 
     A record created and removed between two listings leaves no tombstone, so a
     peer whose revision is older than the second one gets a full listing.
 
     >>> cache.record_listing(9)
-    >>> type(cache.read_update(8)).__name__
+    >>> type(cache.get_update(8)).__name__
     'Listing'
     """
 
@@ -69,7 +69,7 @@
             evicted = self._tombstones.pop(oldest)
             self._complete_from = max(self._complete_from, evicted)
 
-    def read_update(self, since: int) -> Update:
+    def get_update(self, since: int) -> Update:
         """Return what changed after `since`, or a full listing.
 
         The listing is returned if some removals after `since` are not known.
--- a/deckdrum/control/records.py
+++ b/deckdrum/control/records.py
@@ -37,7 +37,7 @@
         Maximum staleness of read data; infinite if none is declared.
     statement_timeout : float
         Maximum duration of one statement.
-    objective : float
+    latency_objective : float
         Latency objective of an operation.
     priority : int
         0 is the highest priority.
@@ -50,7 +50,7 @@
     guarantee: ConsistencyGuarantee
     max_age: float
     statement_timeout: float
-    objective: float
+    latency_objective: float
     priority: int
     is_public: bool = False
 
--- a/deckdrum/control/tests/test_deaf_watches.py
+++ b/deckdrum/control/tests/test_deaf_watches.py
@@ -11,7 +11,7 @@
 from deckdrum.platform.records import KIND_NAMES
 from deckdrum.standins.users import DatabaseServer, StoreFault
 from deckdrum.testing.aims import MAX_RECOVERY_TIME_S
-from deckdrum.testing.nodes import Deployment, build_config, play
+from deckdrum.testing.nodes import Deployment, build_config, run_scenario
 
 #: Time limit for a change to reach every node, in seconds: half of the drain
 #: time of a server (7 s).
@@ -64,7 +64,7 @@
         await curio.sleep(MAX_RECOVERY_TIME_S)
         assert await _drain_replica(deployment) < PROPAGATION_TIMEOUT_S
 
-    play(scenario, nodes=nodes, centres=centres, settle=3.0)
+    run_scenario(scenario, nodes=nodes, centres=centres, settle=3.0)
 
 
 @pytest.mark.parametrize(('nodes', 'centres'), FLEETS)
@@ -77,7 +77,7 @@
         await curio.sleep(MAX_RECOVERY_TIME_S)
         assert await _drain_replica(deployment) < PROPAGATION_TIMEOUT_S
 
-    play(scenario, nodes=nodes, centres=centres, settle=3.0)
+    run_scenario(scenario, nodes=nodes, centres=centres, settle=3.0)
 
 
 def test_configuration_is_applied_although_its_watch_is_silent() -> None:
@@ -93,7 +93,7 @@
         )
         assert took < PROPAGATION_TIMEOUT_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_outdated_update_does_not_restore_a_removed_server() -> None:
@@ -108,14 +108,14 @@
         outdated = Changes(revision + 1, (Entry(name, revision + 1, server),))
         await view.apply_update(Kind.SERVERS, removal)
         await view.apply_update(Kind.SERVERS, outdated)
-        listed = view.read_update(Kind.SERVERS, 0).entries
+        listed = view.get_update(Kind.SERVERS, 0).entries
         assert name not in {entry.name for entry in listed}
         newer = Changes(revision + 3, (Entry(name, revision + 3, server),))
         await view.apply_update(Kind.SERVERS, newer)
-        listed = view.read_update(Kind.SERVERS, 0).entries
+        listed = view.get_update(Kind.SERVERS, 0).entries
         assert name in {entry.name for entry in listed}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_removed_and_added_in_one_response_is_listed() -> None:
@@ -134,7 +134,7 @@
             Entry(name, revision + 2, server),
         )
         await view.apply_update(Kind.SERVERS, Changes(revision + 4, changes))
-        listed = view.read_update(Kind.SERVERS, 0).entries
+        listed = view.get_update(Kind.SERVERS, 0).entries
         assert name in {entry.name for entry in listed}
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/control/tests/test_view.py
+++ b/deckdrum/control/tests/test_view.py
@@ -16,7 +16,7 @@
     Deployment,
     build_config,
     build_route,
-    play,
+    run_scenario,
 )
 
 #: Time limit for applying a configuration on all nodes, in seconds.
@@ -52,7 +52,7 @@
         )
         assert took < APPLY_TIMEOUT_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_draining_server_is_learned_from_peers() -> None:
@@ -71,14 +71,15 @@
         )
         assert took < APPLY_TIMEOUT_S
         client = await deployment.connect(BOUNDED, node=1)
-        before = len(deployment.group.ran)
+        before = len(deployment.group.executed_statements)
         for _ in range(10):
             await client.ask('READ a')
         assert not any(
-            ran.server == replica.name for ran in deployment.group.ran[before:]
+            ran.server == replica.name
+            for ran in deployment.group.executed_statements[before:]
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_older_configuration_is_not_applied() -> None:
@@ -88,10 +89,10 @@
         old = deployment.nodes[0].store.decode_configuration(
             b'{"version": 3, "routes": [], "services": []}',
         )
-        assert not await deployment.nodes[0].node.view.adopt_configuration(old)
+        assert not await deployment.nodes[0].node.view.apply_configuration(old)
         assert deployment.nodes[0].node.view.version == 9
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_requests_are_served_during_a_store_outage() -> None:
@@ -104,7 +105,7 @@
             await curio.sleep(0.1)
         assert done == 100
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_servers_are_used_for_a_while_after_their_entries_expire() -> None:
@@ -112,7 +113,7 @@
         client = await deployment.connect(CURRENT)
         names = list(deployment.group.servers)
         for name in names:
-            await deployment.store.drop('servers', name)
+            await deployment.store.delete('servers', name)
         await curio.sleep(1.0)
         assert (await client.ask('WRITE a 1')).is_done
         for server in deployment.group.servers.values():
@@ -122,7 +123,7 @@
         node = deployment.nodes[0].node
         assert set(node.view.servers) == set(names)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_records_are_listed_again_when_the_history_is_gone() -> None:
@@ -137,7 +138,7 @@
         client = await deployment.connect('db-new')
         assert (await client.ask('WRITE a 1')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_pages_of_a_listing_are_combined() -> None:
@@ -150,7 +151,7 @@
         )
         assert listing.revision == deployment.store.revision
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_undecodable_record_does_not_affect_others() -> None:
@@ -162,7 +163,7 @@
         assert (await client.ask('WRITE a 1')).is_done
         assert deployment.nodes[0].node.services[SERVICE].servers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_record_changed_between_two_pages_is_not_missed() -> None:
@@ -178,7 +179,7 @@
         changes = await store.watch(Kind.SERVERS, found.revision, 0.1)
         assert second in {entry.name for entry in changes.entries}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_recovery_of_the_store_is_detected_without_a_change() -> None:
@@ -190,7 +191,7 @@
         deployment.store.turned_away.clear()
         assert await deployment.wait_for(lambda: feed.is_synchronized) < 2.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_only_one_kind_probes_a_store_that_refuses_calls() -> None:
@@ -204,7 +205,7 @@
         # One kind backs off for 0.4 to 1.2 s; the others call rarely.
         assert calls <= 3 * (13 + 6)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_server_removed_without_notice_is_treated_as_draining() -> None:
@@ -212,7 +213,7 @@
         client = await deployment.connect(CURRENT)
         old = deployment.group.primary
         old.is_listed = False
-        await deployment.store.drop('servers', old.name)
+        await deployment.store.delete('servers', old.name)
         longest: float = 0
         for _ in range(60):
             longest = max(longest, await client.write_until_done())
@@ -224,7 +225,7 @@
         assert longest < 0.9
         assert old.name not in deployment.nodes[0].node.view.servers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_members_listed_together_share_a_log_event() -> None:
@@ -233,7 +234,7 @@
     async def scenario(deployment: Deployment) -> None:
         await curio.sleep(1.0)
 
-    play(scenario, nodes=12, logs=[lines])
+    run_scenario(scenario, nodes=12, logs=[lines])
     listed = [
         event
         for event in map(json.loads, lines.getvalue().splitlines())
--- a/deckdrum/control/view.py
+++ b/deckdrum/control/view.py
@@ -110,9 +110,9 @@
         """Return the store revision up to which a kind is known."""
         return self._caches[kind].revision
 
-    def read_update(self, kind: Kind, since: int) -> Update:
+    def get_update(self, kind: Kind, since: int) -> Update:
         """Return the changes of a kind after `since`, or a full listing."""
-        return self._caches[kind].read_update(since)
+        return self._caches[kind].get_update(since)
 
     def get_leadership(self, service: str) -> tuple[int, GroupRecord] | None:
         """Return revision and record of a group's leadership, or None."""
@@ -121,7 +121,7 @@
             return None
         return entry.revision, entry.record
 
-    def find_departure(self, server: str) -> DrainStatus:
+    def get_drain_status(self, server: str) -> DrainStatus:
         """Return the drain status of a server."""
         return self._drains.get_status(server)
 
@@ -215,7 +215,7 @@
             await self.apply_entry(kind, entry)
         return entry
 
-    async def adopt_configuration(self, configuration: Configuration) -> bool:
+    async def apply_configuration(self, configuration: Configuration) -> bool:
         """Activate a configuration if it is newer; return whether it was."""
         if configuration.version <= self.version:
             return False
@@ -305,7 +305,7 @@
     ) -> None:
         if isinstance(entry.record, Configuration):
             self._caches[kind].upsert(entry)
-            await self.adopt_configuration(entry.record)
+            await self.apply_configuration(entry.record)
             return
         if entry.record is None:
             await self._remove(kind, present, source)
--- a/deckdrum/databases/base.py
+++ b/deckdrum/databases/base.py
@@ -93,7 +93,7 @@
         """Return the next message."""
 
     @abstractmethod
-    def take_frame(self) -> Frame | None:
+    def pop_frame(self) -> Frame | None:
         """Return the next buffered message, or None."""
 
     @abstractmethod
--- a/deckdrum/databases/postgres.py
+++ b/deckdrum/databases/postgres.py
@@ -70,7 +70,7 @@
     @property
     def is_usable(self) -> bool:
         """Whether the connection is open and has no unread input."""
-        return not self._reader.buffered_bytes and self._stream.is_quiet()
+        return not self._reader.buffered_bytes and self._stream.is_idle()
 
     async def start(
         self,
@@ -118,9 +118,9 @@
             raise ConnectionResetError('the database closed')
         return frame
 
-    def take_frame(self) -> Frame | None:
+    def pop_frame(self) -> Frame | None:
         """Return the next buffered message, or None."""
-        return self._reader.take_frame()
+        return self._reader.pop_frame()
 
     async def query(self, text: str) -> QueryResult:
         """Run a simple query and return its complete result."""
--- a/deckdrum/databases/watch.py
+++ b/deckdrum/databases/watch.py
@@ -12,7 +12,7 @@
 
 import curio
 
-from deckdrum.backends.position_history import History
+from deckdrum.backends.position_history import PositionHistory
 from deckdrum.databases.base import (
     Database,
     DatabaseLink,
@@ -127,7 +127,7 @@
 
     def __init__(self, databases: Iterable[Database]) -> None:
         self.watchers = {each.name: Watcher(each) for each in databases}
-        self.history = History()
+        self.history = PositionHistory()
         self.term = 0
         self.primary = ''
         #: Probe interval while no request is waiting, in seconds.
@@ -297,7 +297,7 @@
         if len(in_term) >= self.majority:
             self._unconfirmed_sample = None
             offset = candidate.state.received
-            self.history.note(self.term, offset, candidate.started_at)
+            self.history.record(self.term, offset, candidate.started_at)
 
 
 def was_in_term_since(sample: Sample | None, term: int, since: float) -> bool:
--- a/deckdrum/fleet/borrowing.py
+++ b/deckdrum/fleet/borrowing.py
@@ -19,9 +19,9 @@
 from deckdrum.fleet.health import PeerHealth
 from deckdrum.fleet.node_messages import (
     BorrowLink,
-    Carried,
     LinkLent,
     LinkReturned,
+    RelayedBytes,
     ReturnLink,
 )
 from deckdrum.fleet.peers import StreamPool
@@ -71,8 +71,8 @@
         self.channel = channel
         self._is_closed = False
 
-    def is_quiet(self) -> bool:
-        """Tell whether the stream is open and nothing unread has arrived."""
+    def is_idle(self) -> bool:
+        """Return whether the stream is open and nothing unread has arrived."""
         return not self._is_closed and self.channel.is_usable
 
     async def receive(self) -> bytes:
@@ -83,7 +83,7 @@
             message = await self.channel.receive()
         except ConnectionError:
             return b''
-        return message.payload if isinstance(message, Carried) else b''
+        return message.payload if isinstance(message, RelayedBytes) else b''
 
     async def send(self, payload: bytes) -> None:
         """Send all of `payload`."""
@@ -91,7 +91,7 @@
             raise ConnectionResetError(
                 'the borrowed connection has been returned'
             )
-        await self.channel.send(Carried(payload))
+        await self.channel.send(RelayedBytes(payload))
 
     async def close(self) -> None:
         """Close the stream, so that the lender closes the connection."""
@@ -120,7 +120,7 @@
         self.full_until = float('-inf')
         #: Moving average of the time to open a connection, in seconds.
         self.mean_connect_time: float = 0
-        #: Tells whether the log of this incarnation is known not to be empty.
+        #: Whether the log of this incarnation is known not to be empty.
         self.is_log_known_nonempty: Callable[[], bool] = bool
 
     async def connect(self, timeout: float) -> BackendLink:
@@ -146,7 +146,11 @@
         except ConnectionLimitError:
             self.full_until = now + SERVER_FULL_BACKOFF_S
             raise
-        if has_log and link.opened_at and not link.opened_at.offset:
+        if (
+            has_log
+            and link.position_at_open
+            and not link.position_at_open.offset
+        ):
             # The server has restarted with an empty log, and the directory
             # does not list the new incarnation yet.  A server that is only
             # behind in applying its log reports an offset above 0.
@@ -242,7 +246,7 @@
         responsive = [
             lender
             for lender in self.lenders
-            if not self._health.is_silent(lender.name)
+            if not self._health.is_unresponsive(lender.name)
         ]
         return responsive[:MAX_LENDERS_ASKED]
 
@@ -267,10 +271,10 @@
                 answer = await _request_loan(channel, request)
         except (ConnectionError, curio.TaskTimeout) as error:
             # Not asked again until it answers heartbeats.
-            await self._health.note_failure(lender, error)
+            await self._health.record_failure(lender, error)
             return None
         if not answer.is_lent:
-            await self._streams.keep(lender.endpoint, channel)
+            await self._streams.put_back(lender.endpoint, channel)
             return answer if answer.is_full else None
         link = self._own.wrap(BorrowedStream(channel))
         link.state = decode_state(answer.values, answer.prepared)
@@ -332,7 +336,7 @@
         await channel.close()
         return
     if isinstance(answer, LinkReturned):
-        await streams.keep(lender.endpoint, channel)
+        await streams.put_back(lender.endpoint, channel)
     else:
         await channel.close()
 
--- a/deckdrum/fleet/channels.py
+++ b/deckdrum/fleet/channels.py
@@ -59,7 +59,7 @@
     @property
     def is_usable(self) -> bool:
         """Whether the stream is open and nothing unread has arrived."""
-        return self._stream.is_quiet()
+        return self._stream.is_idle()
 
     async def send(self, message: Message) -> None:
         """Send a message."""
--- a/deckdrum/fleet/following.py
+++ b/deckdrum/fleet/following.py
@@ -37,7 +37,7 @@
 #: that decides before it knows its peers begins four watches of its own.
 START_DELAY_S: Final = 1.2
 #: Interval at which a node checks whether the store answers it while its feeder
-#: gets no answers; multiplied by `StoreFeed.sharing`.
+#: gets no answers; multiplied by `StoreFeed.backoff_factor`.
 STORE_PROBE_INTERVAL_S: Final = 0.8
 _RANK_KEY: Final = 'feeders'
 
@@ -109,22 +109,24 @@
         return True
 
     async def _is_store_unavailable(self) -> bool:
-        """Tell whether the store does not answer this node either."""
+        """Return whether the store does not answer this node either."""
         now = await curio.clock()
         if now >= self._next_probe_at:
             self._next_probe_at = (
-                now + STORE_PROBE_INTERVAL_S * self._feed.sharing
+                now + STORE_PROBE_INTERVAL_S * self._feed.backoff_factor
             )
             if await self._feed.probe():
                 return False
-        await self._feed.follow(is_served=False)
+        await self._feed.follow(is_peer_connected=False)
         return True
 
     async def _pick_feeder(self) -> Member | None:
         """Return the peer to follow; None to watch the store directly."""
         own = self._settings.name
         neighbours = self._list_neighbours()
-        self._feed.sharing = max(1, (len(neighbours) + 1) / MIN_NODES_TO_FOLLOW)
+        self._feed.backoff_factor = max(
+            1, (len(neighbours) + 1) / MIN_NODES_TO_FOLLOW
+        )
         if len(neighbours) + 1 < MIN_NODES_TO_FOLLOW:
             return None
         feeders = _choose_feeders((own, *neighbours))
--- a/deckdrum/fleet/health.py
+++ b/deckdrum/fleet/health.py
@@ -70,29 +70,33 @@
             if name not in self._unresponsive:
                 await curio.spawn(self.check, peer, daemon=True)
 
-    def is_silent(self, name: str) -> bool:
-        """Tell whether a node has not answered since a request to it failed."""
+    def is_unresponsive(self, name: str) -> bool:
+        """Return whether a node is silent since a request to it failed."""
         return name in self._unresponsive
 
-    def is_refusing(self, name: str) -> bool:
-        """Tell whether a node refused its last connection.
+    def has_refused_connection(self, name: str) -> bool:
+        """Return whether a node refused its last connection.
 
         Its process is not running then.
         """
         return isinstance(self._unresponsive.get(name), ConnectionRefusedError)
 
     def may_be_partitioned(self, name: str) -> bool:
-        """Tell whether a node is unresponsive but may be running."""
-        return name in self._unresponsive and not self.is_refusing(name)
+        """Return whether a node is unresponsive but may be running."""
+        return name in self._unresponsive and not self.has_refused_connection(
+            name
+        )
 
     async def check(self, peer: Member) -> bool:
-        """Tell whether a node answers a heartbeat."""
+        """Return whether a node answers a heartbeat."""
         if await self._answers_heartbeat(peer):
             return True
-        await self.note_failure(peer, TimeoutError('no answer to a heartbeat'))
+        await self.record_failure(
+            peer, TimeoutError('no answer to a heartbeat')
+        )
         return False
 
-    async def note_failure(self, peer: Member, error: Exception) -> None:
+    async def record_failure(self, peer: Member, error: Exception) -> None:
         """Record that a node did not answer, and wait for it to recover."""
         if peer.name in self._unresponsive:
             return
--- a/deckdrum/fleet/limits.py
+++ b/deckdrum/fleet/limits.py
@@ -9,7 +9,7 @@
     """Role in which a node is asked to count an operation."""
 
     #: It coordinates the limit.
-    KEEPER = 'keeper'
+    COORDINATOR = 'keeper'
     #: It replaces a coordinator that no longer counts.
     SUCCESSOR = 'successor'
     #: It stands in for a coordinator that may still count for other nodes.
@@ -27,7 +27,7 @@
 
 
 class LimitAnswer(Message, frozen=True):
-    """Tells whether the peer counts for the workspace, and the delay.
+    """Whether the peer counts for the workspace, and the delay.
 
     `wait` is the time until an operation may begin, in seconds.  If it is 0,
     the operation has been counted and may begin now.
--- a/deckdrum/fleet/membership.py
+++ b/deckdrum/fleet/membership.py
@@ -65,7 +65,7 @@
         """Names of the listed databases that are leaving."""
         return self._leaving_databases
 
-    def adopt(self, instances: Iterable[Instance]) -> None:
+    def apply(self, instances: Iterable[Instance]) -> None:
         """Apply the platform's list of instances."""
         listed = list(instances)
         self._proxies = {
--- a/deckdrum/fleet/messages.py
+++ b/deckdrum/fleet/messages.py
@@ -118,7 +118,7 @@
 
 
 class ProbeAnswer(Message, frozen=True):
-    """Tells whether the peer reached the database."""
+    """Whether the peer reached the database."""
 
     reached: bool
 
@@ -158,8 +158,8 @@
     AskConfiguration,
     ConfigurationAnswer,
     Heartbeat,
-    node_messages.AskNews,
-    node_messages.News,
+    node_messages.FetchUpdates,
+    node_messages.StateUpdates,
     node_messages.AskServer,
     node_messages.ServerAnswer,
     node_messages.EndTerm,
@@ -168,12 +168,12 @@
     node_messages.DetourOpened,
     node_messages.BorrowLink,
     node_messages.LinkLent,
-    node_messages.Carried,
+    node_messages.RelayedBytes,
     node_messages.ReturnLink,
     node_messages.LinkReturned,
     node_messages.AskProof,
     node_messages.ProofAnswer,
-    node_messages.FollowNews,
+    node_messages.FollowUpdates,
     node_messages.FollowAnswer,
     node_messages.AskSample,
     node_messages.SampleAnswer,
--- a/deckdrum/fleet/node_messages.py
+++ b/deckdrum/fleet/node_messages.py
@@ -6,7 +6,7 @@
 from deckdrum.fleet.base import Message
 
 
-class AskNews(Message, frozen=True):
+class FetchUpdates(Message, frozen=True):
     """Asks a peer for the updates that the sender lacks.
 
     `version` is the version of the sender's configuration; `revisions` maps
@@ -17,7 +17,7 @@
     revisions: Mapping[str, int]
 
 
-class News(Message, frozen=True):
+class StateUpdates(Message, frozen=True):
     """Updates that the requesting peer lacks.
 
     `configuration` is the compressed content of the store; it is empty if the
@@ -29,7 +29,7 @@
     updates: Mapping[str, bytes]
 
 
-class FollowNews(Message, frozen=True):
+class FollowUpdates(Message, frozen=True):
     """Asks a peer that watches the store for its next updates (long poll).
 
     Attributes
@@ -47,8 +47,8 @@
     version: int
 
 
-class FollowAnswer(News, frozen=True):
-    """Answers `FollowNews` with updates.
+class FollowAnswer(StateUpdates, frozen=True):
+    """Answers `FollowUpdates` with updates.
 
     `is_feeding` tells whether the peer watches the store.
     """
@@ -64,7 +64,7 @@
 
 
 class ServerAnswer(Message, frozen=True):
-    """Tells whether the peer reached the server, and which term it leads."""
+    """Whether the peer reached the server, and which term it leads."""
 
     reached: bool
     leads_term: int
@@ -102,7 +102,7 @@
 
 
 class DetourOpened(Message, frozen=True):
-    """Tells whether the peer has connected to the server."""
+    """Whether the peer has connected to the server."""
 
     is_open: bool
 
@@ -110,8 +110,8 @@
 class BorrowLink(Message, frozen=True):
     """Asks a holder of connections to a server to lend one.
 
-    Once a `LinkLent` has confirmed this, both ends send `Carried` until the
-    borrower sends `ReturnLink`.
+    Once a `LinkLent` has confirmed this, both ends send `RelayedBytes` until
+    the borrower sends `ReturnLink`.
 
     Attributes
     ----------
@@ -136,7 +136,7 @@
 
 
 class LinkLent(Message, frozen=True):
-    """Tells whether a connection is lent, and the state of its session.
+    """Whether a connection is lent, and the state of its session.
 
     `is_full` tells that the lender holds connections but none is available
     now.  `prepared` lists the effect, shape and name of each prepared
@@ -149,7 +149,7 @@
     prepared: Sequence[Sequence[str]]
 
 
-class Carried(Message, frozen=True):
+class RelayedBytes(Message, frozen=True):
     """Bytes relayed to or from the server over a lent connection."""
 
     payload: bytes
--- a/deckdrum/fleet/node_peers.py
+++ b/deckdrum/fleet/node_peers.py
@@ -32,13 +32,13 @@
 from deckdrum.fleet.detours import DetourDialer, DetourRelay
 from deckdrum.fleet.health import PeerHealth
 from deckdrum.fleet.node_messages import (
-    AskNews,
     BorrowLink,
+    FetchUpdates,
     FollowAnswer,
-    FollowNews,
+    FollowUpdates,
     Forward,
-    News,
     OpenDetour,
+    StateUpdates,
 )
 from deckdrum.fleet.peers import StreamPool
 from deckdrum.fleet.settings import NodeSettings
@@ -71,7 +71,7 @@
     view : ControlView
         State of the control store as known to this node.
     feed : StoreFeed
-        Tells whether the store answers.
+        Whether the store answers.
     store : ControlStore
         Decodes configurations received from peers.
     dialer : DetourDialer
@@ -93,11 +93,11 @@
         randomness: Random,
     ) -> None:
         #: Answers a message of a peer; set by the node.
-        self.answer: AnswerHandler | None = None
+        self.answer_request: AnswerHandler | None = None
         #: Lends connections to peers; set by the node.
-        self.lend: LendHandler | None = None
+        self.lend_connection: LendHandler | None = None
         #: Runs statements forwarded by peers; set by the node.
-        self.run_forwarded: ForwardHandler | None = None
+        self.run_forwarded_statement: ForwardHandler | None = None
         self._settings = settings
         self._view = view
         self._feed = feed
@@ -105,9 +105,9 @@
         self._journal = journal
         self._randomness = randomness
         #: Streams over which connections are borrowed.
-        self.loans = StreamPool()
+        self.loan_streams = StreamPool()
         #: Streams over which statements are forwarded.
-        self.forwards = StreamPool()
+        self.forward_streams = StreamPool()
         self._streams = StreamPool()
         #: Version of the current configuration, and its compressed encoding.
         self._compressed_configuration = (0, b'')
@@ -143,8 +143,8 @@
         """Close all connections to peers."""
         await self._listener.close()
         await self._streams.close()
-        await self.loans.close()
-        await self.forwards.close()
+        await self.loan_streams.close()
+        await self.forward_streams.close()
 
     async def run(self) -> None:
         """Run gossip rounds until cancelled."""
@@ -212,15 +212,17 @@
         names.add(self._settings.name)
         return len(names)
 
-    def build_follow_request(self, timeout: float) -> FollowNews:
+    def build_follow_request(self, timeout: float) -> FollowUpdates:
         """Return a request to follow a peer from the current revisions."""
-        return FollowNews(self._get_revisions(), timeout, self._view.version)
+        return FollowUpdates(self._get_revisions(), timeout, self._view.version)
 
-    def collect_updates(self, request: AskNews) -> News:
+    def collect_updates(self, request: FetchUpdates) -> StateUpdates:
         """Return the updates that a requesting peer lacks."""
         return self._build_updates(request.version, request.revisions)
 
-    async def apply_updates(self, received: News, address: Address) -> None:
+    async def apply_updates(
+        self, received: StateUpdates, address: Address
+    ) -> None:
         """Apply a peer's updates; log those that cannot be decoded."""
         try:
             await self._apply(received, str(address))
@@ -248,12 +250,12 @@
         return {name: await task.join() for name, task in tasks.items()}
 
     async def _fetch_updates_from(self, address: Address) -> None:
-        request = AskNews(self._view.version, self._get_revisions())
+        request = FetchUpdates(self._view.version, self._get_revisions())
         answer = await self.ask(address, request)
-        if isinstance(answer, News):
+        if isinstance(answer, StateUpdates):
             await self.apply_updates(answer, address)
 
-    async def _apply(self, received: News, source: str) -> None:
+    async def _apply(self, received: StateUpdates, source: str) -> None:
         # Records come first, so that a corrupt configuration does not prevent
         # their update.
         for name, body in received.updates.items():
@@ -263,7 +265,7 @@
         if received.configuration:
             encoded = decompress_configuration(received.configuration)
             configuration = self._store.decode_configuration(encoded)
-            await self._view.adopt_configuration(configuration)
+            await self._view.apply_configuration(configuration)
 
     def _get_revisions(self) -> dict[str, int]:
         """Return the latest known revision of each shared kind of record."""
@@ -272,18 +274,20 @@
             for kind in REPLICATED_KINDS
         }
 
-    def _build_updates(self, version: int, known: Mapping[str, int]) -> News:
+    def _build_updates(
+        self, version: int, known: Mapping[str, int]
+    ) -> StateUpdates:
         """Return the updates beyond a peer's version and revisions."""
         is_newer = self._view.version > version
         configuration = self._compress_configuration() if is_newer else b''
         updates = {
             kind.value: encode_update(
-                self._view.read_update(kind, known.get(kind.value, 0)),
+                self._view.get_update(kind, known.get(kind.value, 0)),
             )
             for kind in REPLICATED_KINDS
             if self._view.get_revision(kind) > known.get(kind.value, 0)
         }
-        return News(configuration, updates)
+        return StateUpdates(configuration, updates)
 
     def _compress_configuration(self) -> bytes:
         """Return the current configuration, compressed for peers."""
@@ -295,7 +299,7 @@
             self._compressed_configuration = (configuration.version, body)
         return self._compressed_configuration[1]
 
-    async def _answer_follower(self, request: FollowNews) -> FollowAnswer:
+    async def _answer_follower(self, request: FollowUpdates) -> FollowAnswer:
         """Answer a follower once there are updates or its wait ends."""
         revisions = {
             kind: request.revisions.get(kind.value, 0)
@@ -306,7 +310,7 @@
             request.version,
             request.limit,
         )
-        if not self._feed.is_feeding:
+        if not self._feed.can_serve_followers:
             return FollowAnswer(b'', {}, is_feeding=False)
         missing = self._build_updates(request.version, request.revisions)
         return FollowAnswer(
@@ -320,11 +324,17 @@
             if isinstance(request, OpenDetour):
                 await self._detours.handle_request(stream, request)
                 return
-            if isinstance(request, BorrowLink) and self.lend is not None:
-                await self.lend(channel, request)
+            if (
+                isinstance(request, BorrowLink)
+                and self.lend_connection is not None
+            ):
+                await self.lend_connection(channel, request)
                 continue
-            if isinstance(request, Forward) and self.run_forwarded is not None:
-                await self.run_forwarded(channel, request)
+            if (
+                isinstance(request, Forward)
+                and self.run_forwarded_statement is not None
+            ):
+                await self.run_forwarded_statement(channel, request)
                 continue
             answer = await self._get_answer(request)
             if answer is None:
@@ -332,10 +342,10 @@
             await channel.send(answer)
 
     async def _get_answer(self, request: Message) -> Message | None:
-        if isinstance(request, AskNews):
+        if isinstance(request, FetchUpdates):
             return self.collect_updates(request)
-        if isinstance(request, FollowNews):
+        if isinstance(request, FollowUpdates):
             return await self._answer_follower(request)
-        if self.answer is None:
+        if self.answer_request is None:
             return None
-        return await self.answer(request)
+        return await self.answer_request(request)
--- a/deckdrum/fleet/peers.py
+++ b/deckdrum/fleet/peers.py
@@ -48,7 +48,7 @@
             await channel.close()
         return StreamChannel(await dial(address, DIAL_TIMEOUT_S))
 
-    async def keep(self, address: Address, channel: StreamChannel) -> None:
+    async def put_back(self, address: Address, channel: StreamChannel) -> None:
         """Put an idle stream back, or close it if the pool is full."""
         idle = self._idle.setdefault(address, [])
         if len(idle) < _MAX_IDLE_STREAMS and channel.is_usable:
@@ -66,7 +66,7 @@
         """
         channel = await self.open(address)
         answer = await channel.ask(request)
-        await self.keep(address, channel)
+        await self.put_back(address, channel)
         return answer
 
     async def close(self) -> None:
@@ -103,7 +103,9 @@
         await self.channels.close()
         await self._request_streams.close()
 
-    async def ask(self, address: Address, request: Message) -> Message | None:
+    async def send_request(
+        self, address: Address, request: Message
+    ) -> Message | None:
         """Return a peer's answer, or None if it does not answer in time."""
         self.control_messages += 1
         try:
@@ -130,17 +132,17 @@
         answers: list[bool] = []
         async with curio.TaskGroup() as tasks:
             for instance in asked:
-                await tasks.spawn(self.ask, instance.endpoint, request)
+                await tasks.spawn(self.send_request, instance.endpoint, request)
             async for task in tasks:
                 if isinstance(task.result, ProbeAnswer):
                     answers.append(task.result.reached)
         return any(answers) if answers else None
 
-    async def ask_configuration(
+    async def fetch_configuration(
         self,
         address: Address,
         number: int,
     ) -> ConfigurationAnswer | None:
         """Return a peer's configuration if it is newer than `number`."""
-        answer = await self.ask(address, AskConfiguration(number))
+        answer = await self.send_request(address, AskConfiguration(number))
         return answer if isinstance(answer, ConfigurationAnswer) else None
--- a/deckdrum/fleet/tests/test_empty_logs.py
+++ b/deckdrum/fleet/tests/test_empty_logs.py
@@ -16,7 +16,7 @@
 
 @dataclass
 class FakeLink:
-    opened_at: Position | None
+    position_at_open: Position | None
     is_closed: bool = False
 
     async def close(self) -> None:
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ('opened_at', 'is_known'),
+    ('position_at_open', 'is_known'),
     [
         # A new primary that is still applying the log it received.
         (Position(4, 3), True),
@@ -50,10 +50,10 @@
     ],
 )
 def test_server_with_a_log_or_without_known_data_is_accepted(
-    opened_at: Position | None,
+    position_at_open: Position | None,
     is_known: bool,
 ) -> None:
-    link = FakeLink(opened_at)
+    link = FakeLink(position_at_open)
     assert _connect(link, is_known) is link
     assert not link.is_closed
 
--- a/deckdrum/fleet/tests/test_following.py
+++ b/deckdrum/fleet/tests/test_following.py
@@ -3,13 +3,13 @@
 import curio
 
 from deckdrum.fleet.following import MIN_FEEDERS
-from deckdrum.fleet.node_messages import News
+from deckdrum.fleet.node_messages import StateUpdates
 from deckdrum.standins.users import StoreFault
 from deckdrum.testing.nodes import (
     Deployment,
     RunningNode,
     build_config,
-    play,
+    run_scenario,
 )
 
 #: Number of nodes in one data centre for which some follow others.
@@ -20,7 +20,9 @@
 
 def _list_feeders(deployment: Deployment) -> list[RunningNode]:
     return [
-        running for running in deployment.nodes if running.node.feed.is_feeding
+        running
+        for running in deployment.nodes
+        if running.node.feed.can_serve_followers
     ]
 
 
@@ -53,14 +55,14 @@
         # Each feeder's watch is answered and restarted.
         assert deployment.store.calls.total() - before <= 2 * MIN_FEEDERS
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
+    run_scenario(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
 def test_all_nodes_watch_if_each_data_centre_has_few() -> None:
     async def scenario(deployment: Deployment) -> None:
         assert len(_list_feeders(deployment)) == len(deployment.nodes)
 
-    play(scenario, nodes=6, settle=SETTLE_TIME_S)
+    run_scenario(scenario, nodes=6, settle=SETTLE_TIME_S)
 
 
 def test_removal_of_a_server_reaches_followers() -> None:
@@ -71,7 +73,7 @@
             if server.role == 'replica'
         )
         replica.is_listed = False
-        await deployment.store.drop('servers', replica.name)
+        await deployment.store.delete('servers', replica.name)
         await deployment.wait_for(
             lambda: (
                 not any(
@@ -79,10 +81,10 @@
                     for running in deployment.nodes
                 )
             ),
-            limit=8,
+            timeout=8,
         )
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
+    run_scenario(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
 def test_followers_of_stopped_feeders_still_get_updates() -> None:
@@ -92,7 +94,7 @@
             await deployment.stop_node(feeder)
         assert await _drain_replica(deployment) < 1.0
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
+    run_scenario(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
 def test_followers_leave_feeders_that_the_store_refuses() -> None:
@@ -106,10 +108,12 @@
         for kind in ('servers', 'deckdrum-members', 'deckdrum-leadership'):
             await deployment.store.write(kind, 'unreadable', {})
         await curio.sleep(1.5)
-        assert not any(feeder.node.feed.is_feeding for feeder in feeders)
+        assert not any(
+            feeder.node.feed.can_serve_followers for feeder in feeders
+        )
         assert await _drain_replica(deployment) < 2.0
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
+    run_scenario(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
 def test_new_configuration_costs_few_calls_per_feeder() -> None:
@@ -125,7 +129,7 @@
         # Each feeder's watch is answered and restarted.
         assert deployment.store.calls.total() - before <= 2 * MIN_FEEDERS
 
-    play(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
+    run_scenario(scenario, nodes=NODES, centres=1, settle=SETTLE_TIME_S)
 
 
 def test_configurations_written_during_start_reach_followers() -> None:
@@ -138,7 +142,7 @@
         assert versions == {5}
 
     # Written before the nodes have chosen the feeders.
-    play(scenario, nodes=NODES, centres=1, settle=0)
+    run_scenario(scenario, nodes=NODES, centres=1, settle=0)
 
 
 def test_probes_of_an_unavailable_store_do_not_grow_with_nodes() -> None:
@@ -163,7 +167,7 @@
         )
         assert recovery_time < 5.0
 
-    play(
+    run_scenario(
         scenario, nodes=24, centres=1, settle=SETTLE_TIME_S, max_connections=60
     )
 
@@ -179,7 +183,9 @@
         await curio.sleep(3.0)
         nodes = [running.node for running in deployment.nodes]
         assert all(node.feed.is_synchronized for node in nodes)
-        assert sum(node.feed.is_feeding for node in nodes) == MIN_FEEDERS
+        assert (
+            sum(node.feed.can_serve_followers for node in nodes) == MIN_FEEDERS
+        )
         followers = len(nodes) - MIN_FEEDERS
         # The feeders probe; each follower checks twice whether it is served.
         assert deployment.store.calls.total() - before <= 40 + 2 * followers
@@ -189,7 +195,7 @@
         )
         assert elapsed < 0.2
 
-    play(
+    run_scenario(
         scenario, nodes=24, centres=1, settle=SETTLE_TIME_S, max_connections=60
     )
 
@@ -202,7 +208,7 @@
         max_calls = 8 * nodes + 20 * MIN_FEEDERS
         assert deployment.store.calls.total() <= max_calls
 
-    play(
+    run_scenario(
         scenario, nodes=24, centres=1, settle=SETTLE_TIME_S, max_connections=60
     )
 
@@ -210,8 +216,8 @@
 def test_corrupt_configuration_of_a_peer_is_not_applied() -> None:
     async def scenario(deployment: Deployment) -> None:
         node = deployment.nodes[0].node
-        received = News(b'no zlib', {})
+        received = StateUpdates(b'no zlib', {})
         await node.peers.apply_updates(received, node.settings.peer_address)
         assert node.view.version == 1
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/fleet/tests/test_health.py
+++ b/deckdrum/fleet/tests/test_health.py
@@ -32,13 +32,13 @@
         self,
         address: Address,
         request: Message,
-        limit: float,
+        timeout: float,
     ) -> Message | None:
         """Answer for the node at an address, or time out."""
         self.asked.append(address.port)
         if address.port not in self.unresponsive:
             return request
-        await curio.sleep(limit)
+        await curio.sleep(timeout)
         return None
 
 
@@ -61,9 +61,9 @@
         await health.check_all()
         await curio.sleep(HEARTBEAT_TIMEOUT_S * 1.1)
         assert sorted(network.asked) == [1, 2, 3]
-        assert health.is_silent('n1')
-        assert health.is_silent('n2')
-        assert not health.is_silent('n3')
+        assert health.is_unresponsive('n1')
+        assert health.is_unresponsive('n2')
+        assert not health.is_unresponsive('n3')
 
     run(scenario)
 
@@ -74,7 +74,7 @@
         assert health.may_be_partitioned('n1')
         network.unresponsive.clear()
         await curio.sleep(UNRESPONSIVE_RETRY_DELAY_S + HEARTBEAT_TIMEOUT_S)
-        assert not health.is_silent('n1')
+        assert not health.is_unresponsive('n1')
 
     run(scenario)
 
@@ -93,8 +93,8 @@
 
 def test_stopped_process_is_not_taken_for_a_network_partition() -> None:
     async def scenario(network: Network, health: PeerHealth) -> None:
-        await health.note_failure(PEERS[0], ConnectionRefusedError())
-        assert health.is_refusing('n1')
+        await health.record_failure(PEERS[0], ConnectionRefusedError())
+        assert health.has_refused_connection('n1')
         assert not health.may_be_partitioned('n1')
 
     run(scenario)
--- a/deckdrum/fleet/tests/test_peers.py
+++ b/deckdrum/fleet/tests/test_peers.py
@@ -21,10 +21,10 @@
         checks = []
         for _ in range(3):
             await client.run('SELECT 1')
-            echo = await entry.peers.ask(keeper.endpoint, Heartbeat())
+            echo = await entry.peers.send_request(keeper.endpoint, Heartbeat())
             checks.append(echo == Heartbeat())
             request = AskProbe('stalls', 'stalls-1')
-            answer = await entry.peers.ask(keeper.endpoint, request)
+            answer = await entry.peers.send_request(keeper.endpoint, request)
             checks.append(answer == ProbeAnswer(True))
         await client.close()
         await deployment.close()
--- a/deckdrum/forwarding/admission.py
+++ b/deckdrum/forwarding/admission.py
@@ -5,7 +5,7 @@
 is refused until the holder has that version.
 """
 
-from deckdrum.control import Access, Configuration, Route, find_access
+from deckdrum.control import Access, Configuration, Route, authorize
 from deckdrum.fleet.node_messages import Forward
 from deckdrum.outcomes import Code, Refusal, refuse
 
@@ -31,7 +31,7 @@
     is_older = configuration.version < message.version
     if is_older and configuration.workspaces is None:
         return None
-    access = find_access(configuration, route.database, message.fingerprint)
+    access = authorize(configuration, route.database, message.fingerprint)
     if isinstance(access, Access):
         is_same = (
             access.route.service == route.service
--- a/deckdrum/forwarding/encoding.py
+++ b/deckdrum/forwarding/encoding.py
@@ -76,7 +76,7 @@
         _encode_prepared(state.find_prepared(request.operation)),
         astuple(route),
         state.values,
-        _encode_position(state.floor),
+        _encode_position(state.min_position),
         opening,
         state.workspace,
         state.fingerprint,
@@ -213,7 +213,7 @@
 
 
 def _encode_prepared(prepared: PreparedStatement | None) -> tuple[str, ...]:
-    return () if prepared is None else (prepared.effect, prepared.shape)
+    return () if prepared is None else (prepared.effect, prepared.template)
 
 
 def _encode_position(position: Position | None) -> tuple[int, ...]:
--- a/deckdrum/forwarding/handler.py
+++ b/deckdrum/forwarding/handler.py
@@ -24,9 +24,9 @@
 from deckdrum.outcomes import Code, Refusal, refuse
 from deckdrum.serving import (
     CallerSession,
-    Execution,
     Outcome,
     SessionHost,
+    StatementExecutor,
 )
 from deckdrum.serving.runners import StatementRunner
 from deckdrum.serving.state import SessionState, Transaction
@@ -38,7 +38,7 @@
 #: transactions much earlier; this frees the stream of a failed node.
 STREAM_IDLE_TIMEOUT_S: Final = 60.0
 
-ExecutorFinder = Callable[[str], Execution | None]
+ExecutorFinder = Callable[[str], StatementExecutor | None]
 ConfigurationGetter = Callable[[], Configuration | None]
 
 
@@ -61,7 +61,7 @@
     ----------
     access : Access
         Access found by the sender and checked by this node.
-    execution : Execution
+    executor : StatementExecutor
         Runs the statements of its group on this node.
     policies : frozenset of Policy
         Enabled policies.
@@ -70,18 +70,18 @@
     def __init__(
         self,
         access: Access,
-        execution: Execution,
+        executor: StatementExecutor,
         policies: frozenset[Policy],
     ) -> None:
         self.policies = policies
         self._access = access
-        self._execution = execution
+        self._executor = executor
 
-    def find_access(self, state: SessionState) -> Access | Refusal:
+    def authorize(self, state: SessionState) -> Access | Refusal:
         """Return the access that the sender has found."""
         return self._access
 
-    async def spend_limit(self, access: Access) -> Refusal | None:
+    async def admit_operation(self, access: Access) -> Refusal | None:
         """Do nothing: the sender has counted the operation."""
 
     def find_runner(
@@ -90,13 +90,13 @@
         workspace: str,
     ) -> StatementRunner | None:
         """Return the local runner: a statement is forwarded only once."""
-        return self._execution
+        return self._executor
 
-    def find_execution(self, service: str) -> Execution | None:
+    def find_executor(self, service: str) -> StatementExecutor | None:
         """Return what runs statements on this node."""
-        return self._execution
+        return self._executor
 
-    def note_outcome(
+    def record_outcome(
         self,
         session: CallerSession,
         request: Request,
@@ -111,7 +111,7 @@
 
     Parameters
     ----------
-    find_execution : callable
+    find_executor : callable
         Returns what runs a group's statements on this node, if any.
     get_configuration : callable
         Returns the current configuration of this node, if any.
@@ -125,7 +125,7 @@
 
     def __init__(
         self,
-        find_execution: ExecutorFinder,
+        find_executor: ExecutorFinder,
         get_configuration: ConfigurationGetter,
         registry: SessionRegistry,
         policies: frozenset[Policy],
@@ -133,7 +133,7 @@
     ) -> None:
         #: Number of statements and transactions in progress.
         self.running = 0
-        self._find_execution = find_execution
+        self._find_executor = find_executor
         self._get_configuration = get_configuration
         self._registry = registry
         self._policies = policies
@@ -170,15 +170,15 @@
         refusal = check_forward(self._get_configuration(), message, route)
         if refusal is not None:
             return refusal
-        execution = self._find_execution(route.service)
-        if execution is None:
+        executor = self._find_executor(route.service)
+        if executor is None:
             return refuse(Code.NOT_READY, 'the group is not known here yet')
         access = Access(route, Workspace(message.workspace))
-        host = ForwardedSessionHost(access, execution, self._policies)
+        host = ForwardedSessionHost(access, executor, self._policies)
         session = CallerSession(host, route.database, message.fingerprint)
         session.state.workspace = message.workspace
         session.state.values = dict(message.values)
-        session.state.floor = decode_position(message.floor) or LOG_START
+        session.state.min_position = decode_position(message.floor) or LOG_START
         begin = decode_begin(message)
         if begin is not None:
             session.state.transaction = Transaction(begin.read_only, route)
--- a/deckdrum/forwarding/sending.py
+++ b/deckdrum/forwarding/sending.py
@@ -19,7 +19,7 @@
 from deckdrum.forwarding.transactions import RemoteTransaction
 from deckdrum.operations import Answer, Begin, Effect, Request
 from deckdrum.outcomes import Code, Refusal, refuse
-from deckdrum.serving.execution import UNRESPONSIVE_AFTER_S, Execution
+from deckdrum.serving.execution import UNRESPONSIVE_AFTER_S, StatementExecutor
 from deckdrum.serving.host import Outcome
 from deckdrum.serving.retries import RetryBudget
 from deckdrum.serving.runners import StartedTransaction, StatementRunner
@@ -155,7 +155,7 @@
         The group, with the list of its holders.
     peers : NodePeers
         Connections to the other nodes.
-    local_execution : Execution
+    local_executor : StatementExecutor
         Runs statements on this node, over connections from the unallocated
         reserve, if no holder can be reached.
     """
@@ -164,9 +164,9 @@
         self,
         runtime: ServiceRuntime,
         peers: NodePeers,
-        local_execution: Execution,
+        local_executor: StatementExecutor,
     ) -> None:
-        self._local_execution = local_execution
+        self._local_execution = local_executor
         self._runtime = runtime
         self._peers = peers
         self._health = peers.health
@@ -175,7 +175,7 @@
         #: avoided, by name.
         self._backoff_until: dict[str, float] = {}
 
-    async def run_single(
+    async def run_autocommit(
         self,
         request: Request,
         effect: Effect,
@@ -191,15 +191,17 @@
         forwarded = await self._forward(pending)
         if forwarded is None:
             local_route = await pending.make_remaining_route()
-            return await self._local_execution.run_single(
+            return await self._local_execution.run_autocommit(
                 request, effect, local_route, state
             )
         if isinstance(forwarded, Refusal):
             return forwarded
         holder = forwarded.holder
-        await self._peers.forwards.keep(holder.endpoint, forwarded.channel)
+        await self._peers.forward_streams.put_back(
+            holder.endpoint, forwarded.channel
+        )
         if isinstance(forwarded.outcome, Answer) and not is_read:
-            state.note_change(forwarded.outcome)
+            state.record_change(forwarded.outcome)
         return forwarded.outcome
 
     async def begin(
@@ -238,9 +240,9 @@
 
     def _can_run_locally(self) -> bool:
         """Return whether this node is a holder, or cut off from all holders."""
-        if self._runtime.holding.is_holder:
+        if self._runtime.allocator.is_holder:
             return True
-        names = [holder.name for holder in self._runtime.holding.others]
+        names = [holder.name for holder in self._runtime.allocator.others]
         return all(map(self._health.may_be_partitioned, names))
 
     async def _forward(
@@ -292,7 +294,9 @@
         until = await curio.clock() + HOLDER_BACKOFF_S
         self._backoff_until[holder.name] = until
         pending.refusal = outcome
-        await self._peers.forwards.keep(holder.endpoint, attempt.channel)
+        await self._peers.forward_streams.put_back(
+            holder.endpoint, attempt.channel
+        )
         return None
 
     def _choose_holder(
@@ -304,11 +308,11 @@
             return None
         candidates = [
             holder
-            for holder in self._runtime.holding.find_holders(
+            for holder in self._runtime.allocator.find_holders(
                 pending.state.workspace
             )
             if holder.name not in tried
-            and not self._health.is_silent(holder.name)
+            and not self._health.is_unresponsive(holder.name)
         ]
         preferred = [
             holder
@@ -325,8 +329,8 @@
         self, pending: PendingForward, now: float
     ) -> bool:
         """Wait briefly if holders are restarting; return whether to retry."""
-        names = [holder.name for holder in self._runtime.holding.others]
-        is_starting = any(map(self._health.is_refusing, names))
+        names = [holder.name for holder in self._runtime.allocator.others]
+        is_starting = any(map(self._health.has_refused_connection, names))
         has_time = now - pending.began <= HOLDER_RETRY_TIMEOUT_S
         if (
             not is_starting
@@ -345,7 +349,7 @@
         is_repeatable: bool,
     ) -> ForwardAttempt:
         """Send a statement to one holder and wait for its answer."""
-        streams = self._peers.forwards
+        streams = self._peers.forward_streams
         try:
             async with curio.timeout_after(min(timeout, HEARTBEAT_TIMEOUT_S)):
                 channel = await streams.open(holder.endpoint)
@@ -354,7 +358,7 @@
                     # stream would have an unknown outcome.
                     await channel.ask(Heartbeat())
         except (ConnectionError, curio.TaskTimeout) as error:
-            await self._health.note_failure(holder, error)
+            await self._health.record_failure(holder, error)
             await self._health.check_all()
             return _NOT_SENT
         self._runtime.counters.count('forwards')
@@ -369,7 +373,7 @@
         answer = None if answer_task.cancelled else answer_task.result
         if answer is None:
             self._runtime.counters.count('forwards_lost')
-            if self._health.is_silent(holder.name):
+            if self._health.is_unresponsive(holder.name):
                 await self._health.check_all()
             return _NO_ANSWER
         return ForwardAttempt(answer, channel, was_sent=True)
@@ -395,7 +399,7 @@
         rest = max(0, timeout * ATTEMPT_TIMEOUT_FRACTION - UNRESPONSIVE_AFTER_S)
         async with curio.ignore_after(rest):
             await answer_task.wait()
-        if not answer_task.terminated and not self._budget.take():
+        if not answer_task.terminated and not self._budget.try_spend():
             async with curio.ignore_after(
                 timeout * (1 - ATTEMPT_TIMEOUT_FRACTION)
             ):
--- a/deckdrum/forwarding/tests/test_encoding.py
+++ b/deckdrum/forwarding/tests/test_encoding.py
@@ -66,7 +66,7 @@
     begin: Begin | None,
 ) -> None:
     state = SessionState(
-        'db', 'print', 'growers', {'colour': 'red'}, floor=Position(3, 7)
+        'db', 'print', 'growers', {'colour': 'red'}, min_position=Position(3, 7)
     )
     state.prepared['s1'] = PreparedStatement(Effect.WRITE, 'q1')
     request = Request('id-1', operation)
--- a/deckdrum/forwarding/tests/test_forwarding.py
+++ b/deckdrum/forwarding/tests/test_forwarding.py
@@ -12,7 +12,7 @@
     Deployment,
     Reply,
     RunningNode,
-    play,
+    run_scenario,
 )
 
 #: More nodes than connections to a server: one holder per data centre.
@@ -27,7 +27,7 @@
     return [
         number
         for number, running in enumerate(deployment.nodes)
-        if running.node.services[SERVICE].holding.is_holder
+        if running.node.services[SERVICE].allocator.is_holder
     ]
 
 
@@ -36,14 +36,14 @@
     return next(
         number
         for number, running in enumerate(deployment.nodes)
-        if not running.node.services[SERVICE].holding.is_holder
+        if not running.node.services[SERVICE].allocator.is_holder
     )
 
 
 def _find_first_holder(deployment: Deployment, caller: int) -> RunningNode:
     """Return the holder to which a node forwards first."""
     name = (
-        deployment.nodes[caller].node.services[SERVICE].holding.others[0].name
+        deployment.nodes[caller].node.services[SERVICE].allocator.others[0].name
     )
     return next(
         running
@@ -66,10 +66,12 @@
                 assert (await client.ask('READ a')).is_done
         for number, running in enumerate(deployment.nodes):
             handles = running.node.services[SERVICE].servers.values()
-            opened = sum(handle.pool.figures.opened for handle in handles)
+            opened = sum(handle.pool.stats.opened for handle in handles)
             assert bool(opened) == (number in holders)
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 def test_session_values_prepared_statements_and_own_writes_are_kept() -> None:
@@ -83,10 +85,10 @@
             reply = await client.ask('EXECUTE s2 a')
             # The session reads its own write.
             assert reply.rows == [f'a-{number + 1}']
-        values = {ran.values for ran in deployment.group.ran}
+        values = {ran.values for ran in deployment.group.executed_statements}
         assert values == {(('colour', 'red'),)}
 
-    play(
+    run_scenario(
         scenario,
         nodes=NODES,
         max_connections=MAX_CONNECTIONS,
@@ -107,9 +109,13 @@
         assert reply.is_done
         assert reply.state == 'I'
         assert len(deployment.group.primary.log) == 1
-        assert deployment.group.ran[-2].values == (('colour', 'blue'),)
+        assert deployment.group.executed_statements[-2].values == (
+            ('colour', 'blue'),
+        )
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 @pytest.mark.parametrize('ending', ['ROLLBACK', 'disconnect', 'idle'])
@@ -132,7 +138,9 @@
             for handle in running.node.services[SERVICE].servers.values():
                 assert not handle.pool.queue.held
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 def test_stopped_holder_is_skipped_and_no_statement_runs_twice() -> None:
@@ -150,7 +158,9 @@
         assert len(deployment.group.primary.log) == 6
         await deployment.stop_node(holder)
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 @pytest.mark.parametrize('text', ['READ a', 'WRITE a 1'])
@@ -160,8 +170,8 @@
         client = await deployment.connect(CURRENT, caller)
         assert (await client.ask('READ a')).is_done
         peers = _find_first_holder(deployment, caller).node.peers
-        peers.answer = _never_answer
-        peers.run_forwarded = _never_answer
+        peers.answer_request = _never_answer
+        peers.run_forwarded_statement = _never_answer
         began = await curio.clock()
         assert (await client.ask(text)).is_done
         # A read may be in progress when the holder freezes; a write is sent
@@ -172,7 +182,9 @@
             assert (await client.ask(text)).is_done
         assert await curio.clock() - began < 0.1
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 def test_write_with_unknown_outcome_is_not_repeated() -> None:
@@ -182,13 +194,15 @@
         assert (await client.ask('READ a')).is_done
         holder = _find_first_holder(deployment, caller)
         # The holder freezes after receiving the statement.
-        holder.node.peers.run_forwarded = _never_answer
+        holder.node.peers.run_forwarded_statement = _never_answer
         reply = await client.ask('WRITE a 1')
         assert reply.end == 'ERROR'
         assert reply.text.startswith('INDOUBT')
         assert not deployment.group.primary.log
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 def test_read_that_may_have_run_is_not_reported_as_queue_timeout() -> None:
@@ -198,13 +212,15 @@
         assert (await client.ask('READ a')).is_done
         for number in _list_holders(deployment):
             peers = deployment.nodes[number].node.peers
-            peers.run_forwarded = _never_answer
+            peers.run_forwarded_statement = _never_answer
         reply = await client.ask('READ a')
         assert reply.end == 'ERROR'
         assert reply.text.startswith('ABORTED')
         assert 'nothing of it is kept' in reply.text
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 def test_holder_that_cannot_reach_the_primary_is_skipped() -> None:
@@ -215,12 +231,14 @@
         holder = _find_first_holder(deployment, caller)
         primary = deployment.group.primary
         handle = holder.node.services[SERVICE].servers[primary.name]
-        handle.is_dark = True
+        handle.is_unreachable = True
         began = await curio.clock()
         assert (await client.ask('WRITE a 2')).is_done
         assert await curio.clock() - began < 0.05
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 def test_isolated_node_detects_all_unresponsive_holders_at_once() -> None:
@@ -231,14 +249,16 @@
         node = deployment.nodes[caller].node
         for number in _list_holders(deployment):
             peers = deployment.nodes[number].node.peers
-            peers.answer = _never_answer
-            peers.run_forwarded = _never_answer
+            peers.answer_request = _never_answer
+            peers.run_forwarded_statement = _never_answer
         await client.ask('READ a')
         await curio.sleep(HEARTBEAT_TIMEOUT_S)
-        for holder in node.services[SERVICE].holding.others:
-            assert node.peers.health.is_silent(holder.name)
+        for holder in node.services[SERVICE].allocator.others:
+            assert node.peers.health.is_unresponsive(holder.name)
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 def test_node_opens_connections_itself_if_no_holder_answers() -> None:
@@ -246,9 +266,9 @@
         caller = _find_caller(deployment)
         for number in _list_holders(deployment):
             peers = deployment.nodes[number].node.peers
-            peers.answer = _never_answer
-            peers.run_forwarded = _never_answer
-            peers.lend = _never_answer
+            peers.answer_request = _never_answer
+            peers.run_forwarded_statement = _never_answer
+            peers.lend_connection = _never_answer
         client = await deployment.connect(CURRENT, caller)
         done = 0
         for _ in range(10):
@@ -256,7 +276,9 @@
             await curio.sleep(0.3)
         assert done >= 8
 
-    play(scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5)
+    run_scenario(
+        scenario, nodes=NODES, max_connections=MAX_CONNECTIONS, settle=2.5
+    )
 
 
 def test_graceful_shutdown_of_a_holder_fails_no_statement() -> None:
@@ -283,6 +305,6 @@
         assert all(reply.is_done for reply in replies)
         assert len(deployment.group.primary.log) == len(replies)
 
-    play(
+    run_scenario(
         scenario, nodes=MANY_NODES, max_connections=MANY_CONNECTIONS, settle=2.5
     )
--- a/deckdrum/forwarding/transactions.py
+++ b/deckdrum/forwarding/transactions.py
@@ -51,7 +51,7 @@
         request: Request,
         prepared: PreparedStatement | None,
         *,
-        may_last: bool,
+        may_have_committed: bool,
     ) -> Outcome:
         """Run a statement; a refusal ends the transaction."""
         message = encode_forward_next(request, prepared)
@@ -59,9 +59,11 @@
             async with curio.timeout_after(self._timeout):
                 answer = await self._channel.ask(message)
         except (ConnectionError, curio.TaskTimeout) as error:
-            return await self._fail(repr(error), may_last)
+            return await self._fail(repr(error), may_have_committed)
         if not isinstance(answer, ForwardAnswer):
-            return await self._fail(f'{type(answer).__name__} came', may_last)
+            return await self._fail(
+                f'{type(answer).__name__} came', may_have_committed
+            )
         if not answer.is_open:
             await self.end()
         return decode_outcome(answer)
@@ -83,10 +85,16 @@
     async def end(self) -> None:
         """Return the stream to the pool."""
         self.is_open = False
-        await self._peers.forwards.keep(self._holder.endpoint, self._channel)
+        await self._peers.forward_streams.put_back(
+            self._holder.endpoint, self._channel
+        )
 
-    async def _fail(self, reason: str, may_last: bool) -> Refusal:
+    async def _fail(self, reason: str, may_have_committed: bool) -> Refusal:
         self.is_open = False
         await self._channel.close()
-        code = Code.CONNECTION_LOST if may_last else Code.TRANSACTION_LOST
+        code = (
+            Code.CONNECTION_LOST
+            if may_have_committed
+            else Code.TRANSACTION_LOST
+        )
         return refuse(code, f'{self._holder.name}: {reason}')
--- a/deckdrum/invariants/operations.py
+++ b/deckdrum/invariants/operations.py
@@ -170,7 +170,7 @@
         text=text,
     )
     for proxy in deployment.proxies.values():
-        await proxy.view.adopt_configuration(old)
+        await proxy.view.apply_configuration(old)
 
 
 async def _watch_versions(
--- a/deckdrum/invariants/tests/test_invariants.py
+++ b/deckdrum/invariants/tests/test_invariants.py
@@ -40,17 +40,17 @@
 
 def ignore_min_positions(patch: pytest.MonkeyPatch) -> None:
     """Break: reads take no account of what the session has seen."""
-    patch.setattr(Token, 'floor', lambda token, group: LOG_START)
+    patch.setattr(Token, 'min_position', lambda token, group: LOG_START)
 
 
 def release_inside_transactions(patch: pytest.MonkeyPatch) -> None:
     """Break: a connection is given back in the middle of a transaction."""
-    let_go = KeeperSession._let_go
+    let_go = KeeperSession._release_if_idle
 
     async def release(session: Any, end: RelayResult) -> None:
         await let_go(session, RelayResult('I', end.held, end.rejected))
 
-    patch.setattr(KeeperSession, '_let_go', release)
+    patch.setattr(KeeperSession, '_release_if_idle', release)
 
 
 def reuse_unclean_connections(patch: pytest.MonkeyPatch) -> None:
@@ -85,7 +85,7 @@
 
 def retry_changes(patch: pytest.MonkeyPatch) -> None:
     """Break: a change whose connection broke is sent again."""
-    attempt = KeeperSession._attempt
+    attempt = KeeperSession._execute
 
     async def attempt_again(session: Any, tried: Any) -> Any:
         refuse = session._refuse
@@ -104,14 +104,14 @@
             session._refuse = refuse
         return again[0] if again else following
 
-    patch.setattr(KeeperSession, '_attempt', attempt_again)
+    patch.setattr(KeeperSession, '_execute', attempt_again)
 
 
 def read_from_leaving(patch: pytest.MonkeyPatch) -> None:
     """Break: the list of leaving databases is ignored."""
     patch.setattr(
         Router,
-        '_may_read',
+        '_can_serve_reads',
         lambda router, name, state: state.role == 'replica',
     )
 
@@ -121,7 +121,7 @@
 
     async def close_at_once(proxy: Proxy) -> bool:
         proxy.membership.is_leaving = True
-        await proxy._callers.close()
+        await proxy._caller_listener.close()
         return True
 
     patch.setattr(Proxy, 'drain', close_at_once)
@@ -136,7 +136,7 @@
     import sys
 
     caller = sys._getframe(1).f_code.co_name
-    if caller == 'adopt_configuration':
+    if caller == 'apply_configuration':
         return 0
     return view.configuration.number if view.configuration else 0
 
--- a/deckdrum/keepers/core.py
+++ b/deckdrum/keepers/core.py
@@ -87,7 +87,7 @@
         The service's configuration.
     document : Document
         The whole configuration, which defines the groups' shares.
-    around : KeeperContext
+    context : KeeperContext
         Dependencies provided by the proxy.
     """
 
@@ -95,12 +95,12 @@
         self,
         service: Service,
         document: Document,
-        around: KeeperContext,
+        context: KeeperContext,
     ) -> None:
         self.service = service
-        self.around = around
+        self.context = context
         self.databases = {
-            entry.name: around.make_database(entry)
+            entry.name: context.make_database(entry)
             for entry in service.databases
         }
         self.watch = ServiceWatch(self.databases.values())
@@ -114,7 +114,7 @@
             service,
             self.watch,
             self.pools,
-            around.data_centre,
+            context.data_centre,
         )
         self.decisions: deque[Decision] = deque(maxlen=_MAX_DECISIONS)
         self.is_draining = False
@@ -202,7 +202,7 @@
 
     def apply_group_record(self) -> None:
         """Apply the term and, once settled, the primary of the record."""
-        current = self.around.view.records.get(self.service.name)
+        current = self.context.view.records.get(self.service.name)
         if current is None:
             return
         record = current.record
@@ -257,11 +257,13 @@
         With up to three databases, a replica and the primary form a majority.
         In larger groups a majority must confirm what the replica returned.
         """
-        limit = self.service.confirm_limit
+        timeout = self.service.confirm_limit
         database = route.pool.database
         state = database.decode_state(trailer) if trailer else None
         if state is None:
-            read_position = await self.watch.fetch_applied(database.name, limit)
+            read_position = await self.watch.fetch_applied(
+                database.name, timeout
+            )
         else:
             read_position = Position(state.term, state.applied)
         if (
@@ -269,13 +271,13 @@
             or len(self.databases) <= _MAX_DATABASES_FOR_PAIR_MAJORITY
         ):
             return read_position
-        confirmed = await self.watch.confirm(limit)
+        confirmed = await self.watch.confirm(timeout)
         return None if confirmed is None else max(read_position, confirmed)
 
     def record_answered_batch(self, group: str, route: Route) -> None:
         """Record the decision and metrics of an answered batch."""
         target = 'primary' if route.is_primary else 'replica'
-        self.around.metrics.count_batch(
+        self.context.metrics.count_batch(
             self.service.name,
             group,
             route.access.value,
@@ -294,7 +296,7 @@
 
     def record_refused_batch(self, group: str, refusal: Refusal) -> None:
         """Record the decision and metrics of a refused batch."""
-        self.around.metrics.count_batch(
+        self.context.metrics.count_batch(
             self.service.name,
             group,
             'any',
@@ -313,7 +315,7 @@
 
     def count(self, event: str) -> None:
         """Increment the counter of `event`."""
-        self.around.metrics.count(event)
+        self.context.metrics.count(event)
 
     async def _run_warm_up(self) -> None:
         """Keep some connections open once callers use the service."""
--- a/deckdrum/keepers/relay.py
+++ b/deckdrum/keepers/relay.py
@@ -165,7 +165,7 @@
         return await self._link.read_result() if self._trailer else None
 
     async def _next_frame(self) -> Frame:
-        frame = self._link.take_frame()
+        frame = self._link.pop_frame()
         if frame is None:
             if len(self._buffer) > _CHUNK_BYTES:
                 await self.flush()
--- a/deckdrum/keepers/routing.py
+++ b/deckdrum/keepers/routing.py
@@ -90,7 +90,7 @@
         self,
         batch: RunBatch,
         access: Access,
-        limit: float,
+        timeout: float,
     ) -> Route | Refusal:
         """Return the route of a batch.
 
@@ -100,12 +100,12 @@
             The batch.
         access : Access
             Consistency that the batch requires.
-        limit : float
+        timeout : float
             Longest wait in seconds.
         """
         if access is Access.WRITE:
-            return await self.choose_primary(Reason.WRITE, limit)
-        route = await self._choose_read_route(batch, access, limit)
+            return await self.choose_primary(Reason.WRITE, timeout)
+        route = await self._choose_read_route(batch, access, timeout)
         if isinstance(route, Refusal):
             return route
         return replace(route, access=access)
@@ -113,10 +113,10 @@
     async def choose_primary(
         self,
         reason: Reason,
-        limit: float,
+        timeout: float,
     ) -> Route | Refusal:
         """Return the route to the primary; wait until there is one."""
-        pool = await self.watch.probe_until(self._find_primary, limit)
+        pool = await self.watch.probe_until(self._find_primary, timeout)
         if pool is None:
             return refuse(Code.NO_PRIMARY, f'service {self._service.name}')
         return Route(pool, True, self.watch.term, reason)
@@ -125,25 +125,25 @@
         self,
         batch: RunBatch,
         access: Access,
-        limit: float,
+        timeout: float,
     ) -> Route | Refusal:
         min_position = Position(*batch.floor)
         max_age: float | None = batch.max_age
         if access is Access.CURRENT:
-            confirmed = await self._confirm(limit)
+            confirmed = await self._confirm(timeout)
             if confirmed is None:
                 return refuse(Code.READ_NOT_POSSIBLE, 'no majority answers')
             min_position = max(min_position, confirmed)
             max_age = None
         return await self._choose_reader(
-            ReadRequirement(min_position, max_age), limit
+            ReadRequirement(min_position, max_age), timeout
         )
 
-    async def _confirm(self, limit: float) -> Position | None:
+    async def _confirm(self, timeout: float) -> Position | None:
         """Return a confirmed position; retry if the term changes."""
-        async with curio.ignore_after(limit):
+        async with curio.ignore_after(timeout):
             while True:
-                confirmed = await self.watch.confirm(limit)
+                confirmed = await self.watch.confirm(timeout)
                 if confirmed is not None:
                     return confirmed
                 # The read has not run yet, so it can be confirmed in the next
@@ -152,13 +152,13 @@
         return None
 
     async def _choose_reader(
-        self, requirement: ReadRequirement, limit: float
+        self, requirement: ReadRequirement, timeout: float
     ) -> Route | Refusal:
         find = partial(self._find_replica, requirement, await curio.clock())
         pool = find()
         reason = Reason.REPLICA
         if pool is None:
-            wait = min(limit, self._service.catch_up_limit)
+            wait = min(timeout, self._service.catch_up_limit)
             # `find` bounds the age relative to the start of the wait, so the
             # wait itself does not count as age.
             pool = await self.watch.probe_until(find, wait)
@@ -167,7 +167,7 @@
             return Route(pool, False, self.watch.term, reason)
         if requirement.min_position.term > self.watch.term:
             return refuse(Code.READ_NOT_POSSIBLE, 'the keeper lags behind')
-        return await self.choose_primary(Reason.NO_REPLICA, limit)
+        return await self.choose_primary(Reason.NO_REPLICA, timeout)
 
     def _find_primary(self) -> DatabasePool | None:
         state = self.watch.get_state(self.watch.primary)
@@ -193,7 +193,7 @@
         self, name: str, requirement: ReadRequirement, now: float
     ) -> bool:
         state = self.watch.get_state(name)
-        if state is None or not self._may_read(name, state):
+        if state is None or not self._can_serve_reads(name, state):
             return False
         if (
             requirement.min_position.term > state.term
@@ -205,7 +205,7 @@
         age = self.watch.history.bound_age(state.applied, now)
         return age <= requirement.max_age
 
-    def _may_read(self, name: str, state: DatabaseState) -> bool:
+    def _can_serve_reads(self, name: str, state: DatabaseState) -> bool:
         if state.leaving or name in self.leaving:
             return False
         is_replica = state.role is Role.REPLICA
--- a/deckdrum/keepers/sessions.py
+++ b/deckdrum/keepers/sessions.py
@@ -144,9 +144,9 @@
     async def _receive(self) -> Message | None:
         if self._connection is None:
             return await self._channel.receive()
-        limit = self._keeper.get_idle_timeout(self._group)
+        timeout = self._keeper.get_idle_timeout(self._group)
         idle: float = 0
-        while idle < limit and not self._must_return_lent(idle):
+        while idle < timeout and not self._must_return_lent(idle):
             async with curio.ignore_after(_IDLE_CHECK_INTERVAL_S):
                 return await self._channel.receive()
             idle += _IDLE_CHECK_INTERVAL_S
@@ -172,8 +172,8 @@
         if not await self._keeper.can_accept_batches():
             await self._refuse(refuse(Code.NO_KEEPER, 'another one is better'))
             return
-        limit = self._keeper.service.wait_limit
-        deadline = await curio.clock() + limit
+        timeout = self._keeper.service.wait_limit
+        deadline = await curio.clock() + timeout
         attempt: _Attempt | None = _Attempt(batch, access, deadline)
         while attempt is not None:
             attempt = await self._try_once(attempt)
@@ -199,7 +199,7 @@
             await self._discard_connection()
             await self._refuse(refuse(Code.BAD_SETTING, error_text))
             return None
-        return await self._attempt(attempt)
+        return await self._execute(attempt)
 
     async def _refuse_if_expired(self, attempt: _Attempt) -> bool:
         """Refuse a batch, not yet sent, if its deadline has passed."""
@@ -234,7 +234,7 @@
             return lease
         return _HeldConnection(lease, route)
 
-    async def _attempt(self, attempt: _Attempt) -> _Attempt | None:
+    async def _execute(self, attempt: _Attempt) -> _Attempt | None:
         """Run a batch on the connection that the channel holds."""
         connection = self._require_connection()
         relay = Relay(
@@ -284,7 +284,7 @@
         end: RelayResult,
     ) -> _Attempt | None:
         """Retry or refuse a batch that the database did not execute."""
-        await self._let_go(end)
+        await self._release_if_idle(end)
         self._keeper.count('backend.rejected')
         is_over = await attempt.is_over()
         if is_over or not attempt.batch.repeatable or self._connection:
@@ -315,7 +315,7 @@
             await self._refuse(refuse(Code.ANSWER_TOO_LARGE), lost=True)
             return
         if end.rejected:
-            await self._let_go(end)
+            await self._release_if_idle(end)
             detail = f'SQLSTATE {end.rejected}'
             await self._refuse(
                 refuse(Code.PRIMARY_REFUSED, detail),
@@ -355,7 +355,7 @@
 
     async def _finish(self, end: RelayResult, route: Route) -> None:
         """Release the connection, confirm, and send the held-back answer."""
-        await self._let_go(end)
+        await self._release_if_idle(end)
         position: Position | None = Position(0, 0)
         if end.status == _IDLE:
             position = await self._confirm(route, end)
@@ -394,7 +394,7 @@
             return await watch.confirm(service.confirm_limit)
         return await self._keeper.confirm_read(route, end.trailer)
 
-    async def _let_go(self, end: RelayResult) -> None:
+    async def _release_if_idle(self, end: RelayResult) -> None:
         """Release the connection if no transaction is open."""
         if end.status != _IDLE or self._connection is None:
             return
--- a/deckdrum/keepers/supervision.py
+++ b/deckdrum/keepers/supervision.py
@@ -49,7 +49,7 @@
 
     def __init__(self, keeper: 'Keeper') -> None:
         self._keeper = keeper
-        self._context = keeper.around
+        self._context = keeper.context
         self.reports: deque[FailoverReport] = deque(maxlen=_MAX_REPORTS)
         self._fencing_since: tuple[int, float] = (0, 0)
         self._unresponsive_since: float | None = None
--- a/deckdrum/leadership/fencing.py
+++ b/deckdrum/leadership/fencing.py
@@ -130,7 +130,7 @@
     eligible = {
         name: status
         for name, status in fenced.items()
-        if runtime.has_log(name, status.received)
+        if runtime.is_promotable(name, status.received)
     }
     end = max((each.received for each in eligible.values()), default=None)
     ranked = sorted(
@@ -154,11 +154,11 @@
 def _describe_state(handle: ServerHandle) -> str:
     status = handle.status
     if status is None:
-        return handle.fault
+        return handle.last_error
     end = status.received
     return (
         f'{status.role} of term {status.term} up to {end.term}.{end.offset}, '
-        f'fenced for {status.held_term}'
+        f'fenced for {status.fenced_term}'
     )
 
 
@@ -175,7 +175,7 @@
         while True:
             status = await handle.query_status()
             if status is not None:
-                return status.held_term >= term
+                return status.fenced_term >= term
             await curio.sleep(POLL_INTERVAL_S)
     return False
 
@@ -197,5 +197,5 @@
     fenced: dict[str, ServerStatus],
 ) -> None:
     status = await handle.execute_command('hold', term)
-    if status is not None and status.held_term >= term:
+    if status is not None and status.fenced_term >= term:
         fenced[handle.id] = status
--- a/deckdrum/leadership/orders.py
+++ b/deckdrum/leadership/orders.py
@@ -93,7 +93,7 @@
                 'leadership.ordered',
                 service=request.service,
                 server=request.server,
-                fence=request.fence,
+                fence=request.fencing_token,
                 term=claim.record.term,
                 outcome=outcome,
             )
@@ -121,7 +121,7 @@
     ) -> bool:
         async with curio.ignore_after(timeout):
             while True:
-                await self._runtime.ask(handle)
+                await self._runtime.query_server(handle)
                 state = self._runtime.leadership_state
                 if state.primary == handle.id and state.term >= term:
                     return True
--- a/deckdrum/leadership/promotion.py
+++ b/deckdrum/leadership/promotion.py
@@ -148,12 +148,12 @@
     async def _reconcile_server(self, handle: ServerHandle) -> None:
         """Make one server follow the current term."""
         term = self._runtime.leadership_state.term
-        status = await self._runtime.ask(handle)
+        status = await self._runtime.query_server(handle)
         if status is None:
             return
         if status.role is ServerRole.PRIMARY and status.term < term:
             await handle.execute_command('step_down', term)
-        elif status.held_term:
+        elif status.fenced_term:
             await handle.execute_command('release_hold')
 
     async def _prepare(
@@ -182,7 +182,7 @@
         if former is not None:
             # It may be reachable again; the promotion ends its term.
             await former.execute_command(
-                'step_down', term, limit=POLL_INTERVAL_S
+                'step_down', term, timeout=POLL_INTERVAL_S
             )
         self._log(
             'leadership.prepared',
--- a/deckdrum/leadership/promotion_client.py
+++ b/deckdrum/leadership/promotion_client.py
@@ -27,17 +27,17 @@
         The database group.
     server : str
         Id of the server to promote.
-    holder : str
+    requested_by : str
         Name of the requesting node.
-    fence : int
+    fencing_token : int
         Fencing token of the claim; the platform refuses tokens lower than the
         highest that it has seen.
     """
 
     service: str
     server: str
-    holder: str
-    fence: int
+    requested_by: str
+    fencing_token: int
 
 
 class PromotionClient(ABC):
--- a/deckdrum/leadership/state.py
+++ b/deckdrum/leadership/state.py
@@ -132,7 +132,7 @@
         """Stop acknowledging writes of `term` and of earlier terms."""
         self.closed_term = max(self.closed_term, term)
 
-    async def adopt_servers(
+    async def apply_servers(
         self,
         names: Iterable[str],
         start_times: Mapping[str, int] = _NO_START_TIMES,
@@ -174,7 +174,7 @@
         if status.term > self.term:
             # The replica follows a primary that this node does not know yet.
             await self.end_term(status.term - 1, f'{name} follows a later term')
-        if max(status.term, status.held_term) <= self.term:
+        if max(status.term, status.fenced_term) <= self.term:
             self._record_proof(name, asked_at)
         else:
             self._replica_proofs.pop(name, None)
@@ -199,12 +199,12 @@
     ) -> None:
         """Record the leadership record read from the store at `asked_at`."""
         if record is not None:
-            await self.adopt_record(revision, record)
+            await self.apply_record(revision, record)
         if record is None or record.phase is Phase.SETTLED:
             if record is None or record.term <= self.term:
                 self._external_proof_at = max(self._external_proof_at, asked_at)
 
-    async def adopt_record(self, revision: int, record: GroupRecord) -> None:
+    async def apply_record(self, revision: int, record: GroupRecord) -> None:
         """Apply the leadership record if it is newer than the known one."""
         if revision <= self._record_revision:
             return
--- a/deckdrum/leadership/supervision.py
+++ b/deckdrum/leadership/supervision.py
@@ -63,7 +63,7 @@
 RECONCILE_INTERVAL_S: Final = 0.5
 
 
-class Supervisor:
+class PrimaryMonitor:
     """Monitors the primary of one group and replaces it when it is lost.
 
     Parameters
@@ -109,7 +109,7 @@
         record = self._runtime.leadership_state.record
         if record is not None and record.phase is Phase.FENCING:
             return await self._check_claim(record)
-        if not self._runtime.holding.is_holder:
+        if not self._runtime.allocator.is_holder:
             # Only holders of connections observe the servers.
             self._missing_since = None
             return CHECK_INTERVAL_S
@@ -204,9 +204,9 @@
             await curio.sleep(rank * PLANNED_RANK_DELAY_S)
             if self._runtime.primary is not primary:
                 return 0
-        status = await self._runtime.ask(primary)
+        status = await self._runtime.query_server(primary)
         # A primary that may stop at any moment cannot hand over.
-        has_time = not primary.departure.may_terminate(await curio.clock())
+        has_time = not primary.drain_status.may_terminate(await curio.clock())
         is_planned = status is not None and has_time
         reason = 'the primary is draining'
         return await self._change(primary.id, reason, is_planned=is_planned)
@@ -258,7 +258,7 @@
         # Concurrently with the path check, so that a detour is found sooner.
         asking = await curio.spawn(peers.ask_each, asked, question)
         has_path = await self._has_path(primary)
-        primary.is_dark = not has_path
+        primary.is_unreachable = not has_path
         answers = await asking.join()
         self._unresponsive_peers = frozenset(
             name
@@ -309,7 +309,7 @@
         """Route connections to a primary through a node that reaches it."""
         self._context.dialer.detours[primary.id] = member.endpoint
         self._detour_until = await curio.clock() + DETOUR_RETRY_INTERVAL_S
-        primary.is_dark = False
+        primary.is_unreachable = False
         # Existing connections hang until the link is restored.
         await primary.pool.close_idle()
         self._runtime.journal.record(
@@ -385,7 +385,7 @@
 
     def _list_peers(self) -> list[Member]:
         """Return the other nodes that connect to the group's servers."""
-        return self._runtime.holding.others or self._context.peers.others
+        return self._runtime.allocator.others or self._context.peers.others
 
     def _rank(self, unresponsive: Container[str] = ()) -> int:
         """Return how many nodes other than unresponsive ones act earlier."""
--- a/deckdrum/leadership/tests/test_belief.py
+++ b/deckdrum/leadership/tests/test_belief.py
@@ -28,7 +28,7 @@
         'role': ServerRole.REPLICA,
         'term': 1,
         'received': Position(1, 5),
-        'held_term': 0,
+        'fenced_term': 0,
     }
     return ServerStatus(**(defaults | fields))
 
@@ -50,7 +50,7 @@
 
     async def main() -> None:
         state = LeadershipState('stalls', open_null_journal('n1'))
-        await state.adopt_servers(('a', 'b', 'c'))
+        await state.apply_servers(('a', 'b', 'c'))
         leading = build_status(role=ServerRole.PRIMARY)
         await state.record_status('a', leading, 10.0)
         await scenario(state)
@@ -95,11 +95,11 @@
 def test_claim_ends_the_term_and_settling_begins_the_next() -> None:
     async def scenario(state: LeadershipState) -> None:
         await state.record_status('b', build_status(), 10.0)
-        await state.adopt_record(5, build_record())
+        await state.apply_record(5, build_record())
         assert not state.is_primary_usable(10.0)
         assert state.can_acknowledge(1, 10.0)
         settled = build_record(primary='b', phase=Phase.SETTLED)
-        await state.adopt_record(6, settled)
+        await state.apply_record(6, settled)
         assert (state.term, state.primary) == (2, 'b')
 
     run(scenario)
@@ -118,8 +118,8 @@
 def test_older_record_is_ignored() -> None:
     async def scenario(state: LeadershipState) -> None:
         settled = build_record(primary='b', phase=Phase.SETTLED)
-        await state.adopt_record(6, settled)
-        await state.adopt_record(5, build_record())
+        await state.apply_record(6, settled)
+        await state.apply_record(5, build_record())
         assert state.has_primary
 
     run(scenario)
@@ -128,7 +128,7 @@
 def test_former_primary_that_returns_is_ignored() -> None:
     async def scenario(state: LeadershipState) -> None:
         settled = build_record(primary='b', phase=Phase.SETTLED)
-        await state.adopt_record(6, settled)
+        await state.apply_record(6, settled)
         leading = build_status(role=ServerRole.PRIMARY)
         await state.record_status('a', leading, 11.0)
         assert state.primary == 'b'
@@ -138,10 +138,10 @@
 
 def test_abandoned_change_restores_the_term() -> None:
     async def scenario(state: LeadershipState) -> None:
-        await state.adopt_record(5, build_record())
+        await state.apply_record(5, build_record())
         state.close_term(1)
         reverted = build_record(term=1, primary='a', phase=Phase.SETTLED)
-        await state.adopt_record(6, reverted)
+        await state.apply_record(6, reverted)
         await state.record_status('b', build_status(), 12.0)
         assert state.is_primary_usable(12.0)
         assert state.can_acknowledge(1, 12.0)
@@ -161,7 +161,7 @@
     async def scenario(state: LeadershipState) -> None:
         await state.record_store_answer(0, None, 10.0)
         assert state.is_primary_usable(10.5)
-        await state.adopt_record(5, build_record())
+        await state.apply_record(5, build_record())
         assert not state.is_primary_usable(10.5)
 
     run(scenario)
@@ -178,7 +178,7 @@
 ) -> None:
     async def main() -> None:
         state = LeadershipState('stalls', open_null_journal('n1'))
-        await state.adopt_servers(map(str, range(servers)))
+        await state.apply_servers(map(str, range(servers)))
         assert state.required_proofs == proofs
         assert state.required_fenced_replicas == fenced
         if servers > 1:
@@ -216,10 +216,10 @@
         await state.end_term(1, 'a later claim', fencing_token=7)
         state.close_term(1)
         reverted = build_record(term=1, primary='a', phase=Phase.SETTLED)
-        await state.adopt_record(6, reverted)
+        await state.apply_record(6, reverted)
         assert not state.is_primary_usable(10.0)
         assert not state.can_acknowledge(1, 10.0)
-        await state.adopt_record(8, reverted)
+        await state.apply_record(8, reverted)
         assert state.is_primary_usable(10.0)
 
     run(scenario)
@@ -229,7 +229,7 @@
     async def scenario(state: LeadershipState) -> None:
         await state.record_status('b', build_status(term=2), 10.0)
         reverted = build_record(term=1, phase=Phase.SETTLED)
-        await state.adopt_record(6, reverted)
+        await state.apply_record(6, reverted)
         assert not state.has_primary
 
     run(scenario)
--- a/deckdrum/leadership/tests/test_changes.py
+++ b/deckdrum/leadership/tests/test_changes.py
@@ -15,7 +15,7 @@
     OWN_WRITES,
     SERVICE,
     Deployment,
-    play,
+    run_scenario,
 )
 
 #: Longest allowed gap between two acknowledged writes.
@@ -44,7 +44,7 @@
         ]
         assert [len(server.log) for server in new] == [2]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unreachable_primary_is_replaced() -> None:
@@ -52,11 +52,11 @@
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         await curio.sleep(0.1)
-        deployment.group.primary.is_dark = True
+        deployment.group.primary.is_unresponsive = True
         assert await client.write_until_done() < MAX_WRITE_GAP_S + 1
         assert len(deployment.group.promotions) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_draining_primary_hands_over_without_losing_a_write() -> None:
@@ -74,7 +74,7 @@
         assert done == 60
         assert len(new.log) == done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_most_advanced_replica_is_promoted() -> None:
@@ -93,7 +93,7 @@
         await client.write_until_done()
         assert deployment.group.promotions[0][0] == second.name
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('synchronous', [1])
@@ -109,7 +109,7 @@
         await client.write_until_done()
         assert len(deployment.group.primary.log) > done
 
-    play(scenario, synchronous=synchronous, lag=0.01)
+    run_scenario(scenario, synchronous=synchronous, lag=0.01)
 
 
 def test_promotion_with_a_lost_answer_is_resolved() -> None:
@@ -122,7 +122,7 @@
         fences = [fence for _, _, fence in deployment.group.promotions]
         assert fences == sorted(fences)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('settle', [0, 1.5])
@@ -139,7 +139,7 @@
         assert not deployment.group.promotions
         assert deployment.group.primary is primary
 
-    play(scenario, settle=settle)
+    run_scenario(scenario, settle=settle)
 
 
 def test_no_claim_and_no_promotion_without_the_store() -> None:
@@ -153,7 +153,7 @@
         deployment.store.fault = StoreFault.NONE
         assert await client.write_until_done() < MAX_WRITE_GAP_S + 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_claim_with_a_lost_answer_is_read_back() -> None:
@@ -166,7 +166,7 @@
         holders = {holder for _, holder, _ in deployment.group.promotions}
         assert len(holders) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_change_of_a_dead_driver_is_taken_over() -> None:
@@ -195,7 +195,7 @@
         took = await deployment.wait_for(partial(_is_settled, deployment))
         assert took < 0.5
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_old_primary_is_not_read_after_a_change() -> None:
@@ -213,18 +213,18 @@
         writer = await deployment.connect(CURRENT, node=0)
         await writer.ask('WRITE a 2')
         await writer.write_until_done()
-        ran_before = len(group.ran)
+        ran_before = len(group.executed_statements)
         for _ in range(20):
             await cut_off.ask('READ a')
             await curio.sleep(0.05)
         late = [
             ran
-            for ran in group.ran[ran_before:]
+            for ran in group.executed_statements[ran_before:]
             if ran.server == old.name and ran.text.startswith('READ')
         ]
         assert not late
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_cut_off_node_reaches_the_primary_through_another() -> None:
@@ -243,7 +243,7 @@
         events = deployment.nodes[0].node.counters.events
         assert events['detours_taken'] == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_session_reads_its_own_write_after_a_primary_change() -> None:
@@ -256,7 +256,7 @@
         found = await client.ask('READ a')
         assert found.rows == ['a-1']
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_late_decision_does_not_replace_the_new_primary() -> None:
@@ -277,7 +277,7 @@
             assert not await late.run(report)
         assert deployment.group.promotions == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_recent_claim_is_not_taken_over() -> None:
@@ -296,7 +296,7 @@
         await curio.sleep(3)
         assert len(deployment.group.promotions) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_replicas_are_released_after_a_change() -> None:
@@ -304,20 +304,20 @@
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         old = deployment.group.primary
-        old.is_dark = True
+        old.is_unresponsive = True
         await client.write_until_done()
         fenced = [
             server
             for server in deployment.group.servers.values()
-            if server.held_term
+            if server.fenced_term
         ]
         if fenced:
             await curio.sleep(0.15)
         assert not any(
-            server.held_term for server in deployment.group.servers.values()
+            server.fenced_term for server in deployment.group.servers.values()
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_primary_removed_during_a_store_outage_is_replaced() -> None:
@@ -331,12 +331,12 @@
         second = deployment.group.primary
         deployment.store.fault = StoreFault.BUSY
         await second.crash()
-        await deployment.store.drop('servers', second.name)
+        await deployment.store.delete('servers', second.name)
         await curio.sleep(6)
         deployment.store.fault = StoreFault.NONE
         assert await client.write_until_done(12) < 6
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_change_waits_for_a_node_that_was_not_asked() -> None:
@@ -358,4 +358,4 @@
         await deployment.wait_for(lambda: bool(deployment.group.promotions))
         assert await curio.clock() - began > PROOF_LIFETIME_S
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/leadership/tests/test_first_records.py
+++ b/deckdrum/leadership/tests/test_first_records.py
@@ -6,7 +6,7 @@
     SERVICE,
     Deployment,
     RunningNode,
-    play,
+    run_scenario,
 )
 
 
@@ -18,7 +18,7 @@
         assert record['phase'] == 'settled'
         assert not deployment.group.promotions
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def _restart_last_node(deployment: Deployment) -> RunningNode:
@@ -49,7 +49,7 @@
         assert state.is_primary_usable(await curio.clock())
         assert not started.node.counters.events['status_questions']
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_record_is_no_proof_for_a_node_that_was_not_registered() -> None:
@@ -69,4 +69,4 @@
             await curio.clock()
         )
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/leadership/tests/test_proof.py
+++ b/deckdrum/leadership/tests/test_proof.py
@@ -11,12 +11,14 @@
 from deckdrum.leadership.state import PROOF_LIFETIME_S, LeadershipState
 from deckdrum.sessions import Position
 from deckdrum.standins.users import StoreFault
-from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, play
+from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, run_scenario
 from deckdrum.utils.journal import open_null_journal
 
 
 def _count_run(deployment: Deployment, server: str) -> int:
-    return sum(ran.server == server for ran in deployment.group.ran)
+    return sum(
+        ran.server == server for ran in deployment.group.executed_statements
+    )
 
 
 async def _never_answer(_: object) -> None:
@@ -39,7 +41,7 @@
             if server is not deployment.group.primary
         ]
         for server in replicas:
-            server.is_dark = True
+            server.is_unresponsive = True
         deployment.store.fault = StoreFault.SILENT
         # All earlier proof has expired.
         await curio.sleep(2 * PROOF_LIFETIME_S)
@@ -53,7 +55,7 @@
         deployment.store.fault = StoreFault.NONE
         assert await client.write_until_done() < 1.0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_one_node_that_reaches_the_replicas_can_change_the_primary() -> None:
@@ -61,7 +63,7 @@
 
     async def scenario(deployment: Deployment) -> None:
         for number in (1, 2):
-            deployment.nodes[number].node.peers.answer = _never_answer
+            deployment.nodes[number].node.peers.answer_request = _never_answer
         old = deployment.group.primary
         client = await deployment.connect(CURRENT, node=1)
         assert (await client.ask('WRITE a 1')).is_done
@@ -87,7 +89,7 @@
         # The old primary still runs, but no node uses it.
         assert _count_run(deployment, old.name) == before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_hopeless_change_ends_no_term() -> None:
@@ -96,9 +98,9 @@
         await client.ask('WRITE a 1')
         primary = deployment.group.primary
         for server in deployment.group.servers.values():
-            server.is_dark = server is not primary
+            server.is_unresponsive = server is not primary
         for number in (1, 2):
-            deployment.nodes[number].node.peers.answer = _never_answer
+            deployment.nodes[number].node.peers.answer_request = _never_answer
         node = deployment.nodes[0].node
         change = PrimaryChanger(node.services[SERVICE], node.tools)
         report = PrimaryChangeReport(
@@ -111,7 +113,7 @@
             )
         assert (await client.ask('WRITE a 1')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_replica_restart_during_a_change_aborts_it() -> None:
@@ -119,7 +121,7 @@
 
     async def scenario(deployment: Deployment) -> None:
         for number in (1, 2):
-            deployment.nodes[number].node.peers.answer = _never_answer
+            deployment.nodes[number].node.peers.answer_request = _never_answer
         old = deployment.group.primary
         replica = next(
             server
@@ -133,13 +135,13 @@
         )
         driving = await curio.spawn(change.run, report)
         await curio.sleep(PROOF_LIFETIME_S / 2)
-        assert replica.held_term
+        assert replica.fenced_term
         await replica.crash()
         await replica.start()
         assert not await driving.join()
         assert not deployment.group.promotions
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def _outlives_promotion(seed: int, missing: int) -> bool:
@@ -152,7 +154,7 @@
     randomness = Random(seed)
     names = ['a', 'b', 'c', 'd', 'e'][: randomness.choice((3, 5))]
     state = LeadershipState(SERVICE, open_null_journal('n1'))
-    await state.adopt_servers(names)
+    await state.apply_servers(names)
     leads = ServerStatus(ServerRole.PRIMARY, 1, Position(1, 1), 0)
     await state.record_status('a', leads, 0)
     claimed_at = randomness.uniform(0, 1)
@@ -206,7 +208,7 @@
         # Without sharing, each node would ask more than once per second.
         assert asked < 24 * 3
 
-    play(scenario, nodes=24, max_connections=100)
+    run_scenario(scenario, nodes=24, max_connections=100)
 
 
 def test_shared_proof_ends_with_the_term() -> None:
@@ -215,10 +217,10 @@
         assert await runtime.renew_proof()
         assert 0 <= await runtime.fetch_proof_age(1) < PROOF_LIFETIME_S
         assert await runtime.fetch_proof_age(2) < 0
-        await runtime.close_term(1, may_finish=False, fence=0)
+        await runtime.close_term(1, may_finish=False, fencing_token=0)
         assert await runtime.fetch_proof_age(1) < 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def _count(deployment: Deployment, event: str) -> int:
@@ -232,7 +234,7 @@
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         for number in (1, 2):
-            deployment.nodes[number].node.peers.answer = _never_answer
+            deployment.nodes[number].node.peers.answer_request = _never_answer
         primary = deployment.group.primary
         node = deployment.nodes[0].node
         change = PrimaryChanger(node.services[SERVICE], node.tools)
@@ -241,4 +243,4 @@
         assert await client.write_until_done(2) < 1
         assert deployment.group.primary is primary
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/leadership/tests/test_restarted_servers.py
+++ b/deckdrum/leadership/tests/test_restarted_servers.py
@@ -15,7 +15,7 @@
     OWN_WRITES,
     SERVICE,
     Deployment,
-    play,
+    run_scenario,
 )
 
 ROLES = ('primary', 'replica')
@@ -49,7 +49,7 @@
         # No write to the empty log was acknowledged, and no write was lost.
         assert len(leader.log) == done + 1
 
-    play(scenario, nodes=nodes)
+    run_scenario(scenario, nodes=nodes)
 
 
 @pytest.mark.parametrize('role', ROLES)
@@ -66,7 +66,7 @@
         assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
         assert len(deployment.group.primary.log) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_replica_that_restarts_empty_is_not_promoted() -> None:
@@ -89,7 +89,7 @@
         assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_MAX_S
         assert deployment.group.promotions[0][0] == complete.name
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_group_whose_servers_all_restart_empty_refuses_statements() -> None:
@@ -106,7 +106,7 @@
             await curio.sleep(0.1)
         assert not deployment.group.promotions
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_session_does_not_read_an_empty_log() -> None:
@@ -122,7 +122,7 @@
             assert found.rows in ([], ['a-1'])
             await curio.sleep(0.05)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connections_of_an_earlier_incarnation_are_not_used() -> None:
@@ -145,7 +145,7 @@
         assert not any(handle.pool.idle for handle in before)
         assert (await client.ask('EXECUTE s a')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_restarted_server_keeps_its_connection_allocation() -> None:
@@ -173,4 +173,4 @@
             (handle.is_holder, handle.pool.queue.slots) for handle in handles
         ]
 
-    play(scenario, nodes=30, max_connections=12)
+    run_scenario(scenario, nodes=30, max_connections=12)
--- a/deckdrum/leadership/tests/test_troubles.py
+++ b/deckdrum/leadership/tests/test_troubles.py
@@ -9,7 +9,7 @@
     Deployment,
     build_config,
     build_route,
-    play,
+    run_scenario,
 )
 from deckdrum.utils.ranks import compute_rendezvous_rank
 
@@ -30,7 +30,7 @@
         assert not deployment.group.promotions
         assert _count(deployment, 'detours_taken') == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_slow_primary_is_neither_replaced_nor_reached_by_detours() -> None:
@@ -46,7 +46,7 @@
         assert not deployment.group.promotions
         assert _count(deployment, 'detours_taken') == 0
 
-    play(scenario, work=0.02)
+    run_scenario(scenario, work=0.02)
 
 
 def _count(deployment: Deployment, event: str) -> int:
@@ -72,7 +72,7 @@
         assert deployment.group.promotions
         assert longest < 0.1
 
-    play(scenario, promotion_time=0.6)
+    run_scenario(scenario, promotion_time=0.6)
 
 
 def test_unreachable_primary_with_few_connections_is_replaced() -> None:
@@ -83,7 +83,7 @@
         ]
         for client in clients:
             await client.ask('WRITE a 1')
-        deployment.group.primary.is_dark = True
+        deployment.group.primary.is_unresponsive = True
         async with curio.TaskGroup() as writing:
             for client in clients:
                 await writing.spawn(client.write_until_done)
@@ -91,7 +91,7 @@
         longest = max(task.result for task in writing.tasks)
         assert longest < MAX_WRITE_GAP_S + 1
 
-    play(scenario, nodes=12, max_connections=9, settle=2.5)
+    run_scenario(scenario, nodes=12, max_connections=9, settle=2.5)
 
 
 def test_statement_that_was_not_sent_is_retried_over_a_detour() -> None:
@@ -106,7 +106,7 @@
         assert (await client.ask('WRITE a 2')).is_done
         assert _count(deployment, 'detours_taken') == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unresponsive_nodes_do_not_delay_a_change() -> None:
@@ -124,11 +124,11 @@
         await client.ask('WRITE a 1')
         for running in deployment.nodes:
             if running.node.settings.name in first:
-                running.node.peers.answer = _never_answer
+                running.node.peers.answer_request = _never_answer
         await deployment.group.primary.crash()
         assert await client.write_until_done() < 4.0
 
-    play(scenario, nodes=9, max_connections=60)
+    run_scenario(scenario, nodes=9, max_connections=60)
 
 
 async def _never_answer(_: object) -> None:
--- a/deckdrum/leadership/tests/test_unfinished_changes.py
+++ b/deckdrum/leadership/tests/test_unfinished_changes.py
@@ -15,7 +15,7 @@
 from deckdrum.standins.users import DatabaseServer, StoreFault
 from deckdrum.store.records import Phase
 from deckdrum.testing.aims import DRAIN_TIME_S, WRITE_GAP_MAX_S, WRITE_GAP_P99_S
-from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, play
+from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, run_scenario
 
 
 async def _record(deployment: Deployment, **fields: Any) -> None:
@@ -57,7 +57,7 @@
         client = await deployment.connect(CURRENT)
         assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('nodes', [3, 9])
@@ -72,7 +72,7 @@
         await _record(deployment)
         assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
 
-    play(scenario, nodes=nodes)
+    run_scenario(scenario, nodes=nodes)
 
 
 def test_draining_primary_missing_from_the_record_is_replaced() -> None:
@@ -89,7 +89,7 @@
         )
         assert await client.write_until_done() < WRITE_GAP_P99_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_completed_change_is_recorded_later() -> None:
@@ -111,7 +111,7 @@
         leader = deployment.group.primary
         assert _read_record(deployment)['primary'] == leader.name
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_primary_of_an_unrecorded_change_is_replaced() -> None:
@@ -138,7 +138,7 @@
         )
         assert await client.write_until_done() < WRITE_GAP_P99_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_nodes_that_start_without_a_record_find_a_primary() -> None:
@@ -150,13 +150,13 @@
             if server is not old:
                 server.term = 2
         await old.crash()
-        await deployment.store.drop('servers', old.name)
-        await deployment.store.drop('deckdrum-leadership', SERVICE)
+        await deployment.store.delete('servers', old.name)
+        await deployment.store.delete('deckdrum-leadership', SERVICE)
         await deployment.start_nodes()
         client = await deployment.connect(CURRENT)
         assert await client.write_until_done(WRITE_GAP_MAX_S) < WRITE_GAP_P99_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_later_claim_is_not_settled_for_an_earlier_one() -> None:
@@ -173,4 +173,4 @@
         assert _read_record(deployment)['operation'] == 'second'
         assert _read_record(deployment)['phase'] == Phase.FENCING.value
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/limits/client.py
+++ b/deckdrum/limits/client.py
@@ -79,12 +79,12 @@
             Time until the operation may begin, in seconds; 0 if it has been
             counted, None if no coordinator answered.
         """
-        role = LimitRole.KEEPER
+        role = LimitRole.COORDINATOR
         attempts = 0
         for name in self._counter.rank(workspace.name):
             if name == self._node:
                 return await self._counter.try_acquire(workspace, role)
-            if not self._peers.health.is_silent(name):
+            if not self._peers.health.is_unresponsive(name):
                 if attempts >= MAX_COORDINATORS_ASKED:
                     return None
                 attempts += 1
@@ -120,7 +120,7 @@
         error: Exception = TimeoutError('no answer to a limit request')
         if isinstance(answer, ConnectionRefusedError):
             error = answer
-        await self._peers.health.note_failure(coordinator, error)
+        await self._peers.health.record_failure(coordinator, error)
         await self._peers.health.check_all()
         return None
 
@@ -161,7 +161,7 @@
         self._counters.count_limited(workspace.name, code)
         refusal = refuse(
             code,
-            f'workspace {workspace.name}: limit {workspace.rate} operations/s',
+            f'workspace {workspace.name}, {workspace.rate} a second',
             compute_retry_after(wait, self._refused_count),
         )
         self._journal.record_rate_limited(
--- a/deckdrum/limits/counting.py
+++ b/deckdrum/limits/counting.py
@@ -14,7 +14,7 @@
     Tolerance,
     compute_coordinator_burst,
     compute_deputy_rate,
-    rank_keepers,
+    rank_coordinators,
     select_coordinators,
 )
 from deckdrum.workspaces import Workspace
@@ -89,7 +89,7 @@
         """Return the coordinator of a workspace, followed by its stand-ins."""
         ranked = self._rankings.get(workspace)
         if ranked is None:
-            ranked = rank_keepers(workspace, self._coordinators)
+            ranked = rank_coordinators(workspace, self._coordinators)
             self._rankings[workspace] = ranked
         return ranked
 
@@ -166,9 +166,9 @@
         coordinator = members.get(next(iter(self.rank(request.workspace)), ''))
         if coordinator is None or coordinator.name == self._node:
             return None
-        if self._peers.health.is_silent(coordinator.name):
+        if self._peers.health.is_unresponsive(coordinator.name):
             return None
-        forwarded = AskLimit(request.workspace, LimitRole.KEEPER)
+        forwarded = AskLimit(request.workspace, LimitRole.COORDINATOR)
         answer = await self._peers.ask(
             coordinator.endpoint, forwarded, RELAY_TIMEOUT_S
         )
--- a/deckdrum/limits/tests/test_limits.py
+++ b/deckdrum/limits/tests/test_limits.py
@@ -9,7 +9,12 @@
 from deckdrum.load.limits import DEFAULT_TOLERANCE
 from deckdrum.outcomes import Code, Fate
 from deckdrum.testing.limits import LimitFleet, find_worst_window
-from deckdrum.testing.nodes import CURRENT, Deployment, build_workspace, play
+from deckdrum.testing.nodes import (
+    CURRENT,
+    Deployment,
+    build_workspace,
+    run_scenario,
+)
 from deckdrum.utils.virtualtime import run_virtual
 from deckdrum.workspaces import Workspace
 
@@ -32,7 +37,7 @@
     return (
         rate * WINDOW
         + workspace.burst
-        + DEFAULT_TOLERANCE.measure(rate, workspace.burst)
+        + DEFAULT_TOLERANCE.compute_allowed_excess(rate, workspace.burst)
     )
 
 
@@ -207,11 +212,11 @@
         # A burst of four, plus a part of the tolerance.
         assert 9 <= codes.count('-') <= 12
         assert set(codes) == {'-', 'TOOMANY'}
-        assert len(deployment.group.ran) == 4 * codes.count('-')
+        assert len(deployment.group.executed_statements) == 4 * codes.count('-')
         await curio.sleep(2)
         assert (await client.ask('READ a')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_refusal_with_a_limit_of_zero_tells_when_to_retry() -> None:
@@ -224,7 +229,7 @@
         assert reply.text.startswith('TOOMANY')
         assert 'retry after' in reply.text
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_nodes_without_known_members_begin_no_operations() -> None:
--- a/deckdrum/load/keeping.py
+++ b/deckdrum/load/keeping.py
@@ -24,7 +24,7 @@
     --------
     >>> counts = DecayingUseCounts()
     >>> for owner in ('growers', 'growers', 'shoppers'):
-    ...     counts.note(owner)
+    ...     counts.record_use(owner)
     >>> counts.find_least_used(['growers', 'shoppers', 'growers'])
     1
     >>> counts.find_least_used(['growers', 'growers'])
@@ -35,7 +35,7 @@
         self._weight: float = 1
         self._counts: defaultdict[str, float] = defaultdict(float)
 
-    def note(self, owner: str) -> None:
+    def record_use(self, owner: str) -> None:
         """Count one use by a workspace."""
         # Equivalent to decaying all earlier counts.
         self._weight /= USE_DECAY
--- a/deckdrum/load/limits.py
+++ b/deckdrum/load/limits.py
@@ -50,7 +50,9 @@
 
     Examples
     --------
-    >>> Tolerance(window=5, overrun=0.1, slack=20).measure(rate=12, burst=12)
+    >>> Tolerance(window=5, overrun=0.1, slack=20).compute_allowed_excess(
+    ...     rate=12, burst=12
+    ... )
     27.2
     """
 
@@ -58,7 +60,7 @@
     overrun: float = 0.1
     slack: float = 20
 
-    def measure(self, rate: float, burst: float) -> float:
+    def compute_allowed_excess(self, rate: float, burst: float) -> float:
         """Return the number of operations allowed beyond a limit."""
         return (rate * self.window + burst) * self.overrun + self.slack
 
@@ -144,12 +146,12 @@
     return tuple(sorted(coordinators))
 
 
-def rank_keepers(workspace: str, coordinators: Iterable[str]) -> list[str]:
+def rank_coordinators(workspace: str, coordinators: Iterable[str]) -> list[str]:
     """Return the coordinator of a workspace, followed by its deputies.
 
     Examples
     --------
-    >>> rank_keepers('growers', ['n1', 'n2', 'n3'])
+    >>> rank_coordinators('growers', ['n1', 'n2', 'n3'])
     ['n2', 'n1', 'n3']
     """
     return sorted(coordinators, key=partial(compute_rendezvous_rank, workspace))
@@ -165,7 +167,10 @@
     >>> compute_coordinator_burst(rate=12, burst=12, tolerance=Tolerance())
     18.8
     """
-    return burst + tolerance.measure(rate, burst) * COORDINATOR_FRACTION
+    return (
+        burst
+        + tolerance.compute_allowed_excess(rate, burst) * COORDINATOR_FRACTION
+    )
 
 
 def compute_deputy_rate(
@@ -179,7 +184,10 @@
         Operations per second.  The initial tokens use the same fraction of
         the tolerance.
     """
-    budget = tolerance.measure(rate, burst) * DEPUTY_FRACTION - INITIAL_TOKENS
+    budget = (
+        tolerance.compute_allowed_excess(rate, burst) * DEPUTY_FRACTION
+        - INITIAL_TOKENS
+    )
     return max(0, budget) / tolerance.window
 
 
@@ -211,7 +219,12 @@
     >>> at_once
     3.0
     """
-    share = tolerance.measure(rate, burst) * ISOLATED_FRACTION / 2 / nodes
+    share = (
+        tolerance.compute_allowed_excess(rate, burst)
+        * ISOLATED_FRACTION
+        / 2
+        / nodes
+    )
     rank = int.from_bytes(
         compute_rendezvous_rank(workspace, node)[:_DRAW_BYTES]
     )
--- a/deckdrum/load/placement.py
+++ b/deckdrum/load/placement.py
@@ -56,7 +56,7 @@
 
     holders: Mapping[str, int]
 
-    def level(self) -> 'ConnectionAllocation':
+    def to_uniform(self) -> 'ConnectionAllocation':
         """Return an allocation of the smallest number to every holder."""
         smallest = min(self.holders.values())
         return ConnectionAllocation(dict.fromkeys(self.holders, smallest))
--- a/deckdrum/load/tests/test_workspaces.py
+++ b/deckdrum/load/tests/test_workspaces.py
@@ -10,7 +10,7 @@
 
 from deckdrum.load.placement import rank_holders, rank_replicas
 from deckdrum.outcomes import Refusal
-from deckdrum.testing.pools import CountedPool, build_pool
+from deckdrum.testing.pools import StubPool, build_pool
 from deckdrum.utils.ranks import compute_rendezvous_rank
 from deckdrum.utils.virtualtime import run_virtual
 
@@ -52,7 +52,7 @@
 async def _simulate(route: _Router, seed: int) -> float:
     """Return the fraction of statements that found a connection open."""
     randomness = Random(seed)
-    pools: dict[tuple[str, str], CountedPool] = {
+    pools: dict[tuple[str, str], StubPool] = {
         (holder, server): build_pool(CONNECTIONS)
         for holder in HOLDERS
         for server in SERVERS
@@ -66,8 +66,8 @@
     return _compute_reused_fraction(list(pools.values()))
 
 
-def _compute_reused_fraction(pools: Sequence[CountedPool]) -> float:
-    reused = sum(pool.figures.reused for pool in pools)
+def _compute_reused_fraction(pools: Sequence[StubPool]) -> float:
+    reused = sum(pool.stats.reused for pool in pools)
     return reused / STATEMENTS
 
 
--- a/deckdrum/members/queue.py
+++ b/deckdrum/members/queue.py
@@ -42,7 +42,7 @@
     """The configured share of a member group."""
 
     weight: float = 1
-    max_waiting: int = 200
+    max_waiters: int = 200
 
 
 @dataclass(slots=True, eq=False)
@@ -159,7 +159,7 @@
         self._average_hold_time: float = 0
         #: Permits granted and requests rejected so far.
         self.granted_count = 0
-        self.turned_away = 0
+        self.rejected = 0
 
     @property
     def held(self) -> int:
@@ -237,7 +237,7 @@
         account.record_demand(now)
         if not account.waiting and self._can_grant(account, now):
             return self._grant(account, group, owner, now)
-        if len(account.waiting) >= account.share.max_waiting:
+        if len(account.waiting) >= account.share.max_waiters:
             return await self._refuse(
                 Code.QUEUE_FULL, account, owner, 'is full'
             )
@@ -329,8 +329,8 @@
         wait = (
             self._estimate_wait(account, owner, now) + self._average_hold_time
         )
-        self.turned_away += 1
-        retry_after = compute_retry_after(wait, self.turned_away)
+        self.rejected += 1
+        retry_after = compute_retry_after(wait, self.rejected)
         return refuse(code, f'the group {reason}', retry_after)
 
     def _can_grant(self, account: _Account, now: float) -> bool:
--- a/deckdrum/node/answering.py
+++ b/deckdrum/node/answering.py
@@ -70,7 +70,7 @@
             return ServerAnswer(
                 reached=True, leads_term=runtime.leadership_state.term
             )
-        if handle.is_silent(now):
+        if handle.has_recent_timeout(now):
             return _NOT_REACHED_AS_PRIMARY
         status = await handle.query_status_shared()
         if status is not None and status.role is ServerRole.PRIMARY:
@@ -93,7 +93,7 @@
         runtime = self._services.get(request.service)
         if runtime is None:
             return SampleAnswer(0, 0, -1)
-        return await runtime.samples.tell()
+        return await runtime.samples.share_sample()
 
     async def _count_operation(self, request: AskLimit) -> Message:
         return await self._limits.answer(request)
--- a/deckdrum/node/core.py
+++ b/deckdrum/node/core.py
@@ -45,7 +45,7 @@
         Settings of the node.
     store : ControlStore
         Holds the configuration, the registrations and the leadership records.
-    duty : PromotionDuty
+    promotion_client : PromotionClient
         Promotes servers.
     make_backend : callable
         Creates the backend of a server from the server and, as `dial`, the
@@ -63,7 +63,7 @@
         self,
         settings: NodeSettings,
         store: ControlStore,
-        duty: PromotionClient,
+        promotion_client: PromotionClient,
         make_backend: BackendFactory,
         journal: Journal,
         counters: Counters,
@@ -98,7 +98,7 @@
             settings.name,
             self.view,
             store,
-            duty,
+            promotion_client,
             self.peers,
             self._dialer,
             self._randomness,
@@ -111,7 +111,7 @@
             counters,
         )
         self.lender = ConnectionLender(self.services, counters)
-        self.peers.lend = self.lender.lend
+        self.peers.lend_connection = self.lender.lend
         self._failure_detector = FailureDetector(
             settings.name,
             self.view,
@@ -140,15 +140,15 @@
             counters,
         )
         request_handler = PeerRequestHandler(self.services, self.host.counter)
-        self.peers.answer = request_handler.handle
+        self.peers.answer_request = request_handler.handle
         self._forwarded = ForwardedStatementHandler(
-            self._service_manager.find_execution,
+            self._service_manager.find_executor,
             lambda: self.view.configuration,
             self._session_manager,
             settings.policies,
             counters,
         )
-        self.peers.run_forwarded = self._forwarded.serve
+        self.peers.run_forwarded_statement = self._forwarded.serve
         self._view_changed = curio.Event()
         self._tasks: list[Any] = []
 
@@ -170,7 +170,7 @@
         return self._session_manager.count
 
     @property
-    def lent(self) -> int:
+    def lent_connections(self) -> int:
         """Number of connections lent to other nodes."""
         return self.lender.lent
 
--- a/deckdrum/node/lending.py
+++ b/deckdrum/node/lending.py
@@ -12,9 +12,9 @@
 from deckdrum.fleet.channels import StreamChannel
 from deckdrum.fleet.node_messages import (
     BorrowLink,
-    Carried,
     LinkLent,
     LinkReturned,
+    RelayedBytes,
     ReturnLink,
 )
 from deckdrum.outcomes import Refusal
@@ -129,7 +129,7 @@
     Connections to a server that has left are lent only for status requests,
     which have no member group: the borrower may not know yet that it has left.
     """
-    is_excluded = bool(request.group) and handle.departure.is_past_cutoff(
+    is_excluded = bool(request.group) and handle.drain_status.is_past_cutoff(
         await curio.clock()
     )
     return handle.is_holder and not is_excluded
@@ -146,7 +146,7 @@
             message = await channel.receive()
             if isinstance(message, ReturnLink):
                 return message
-            if not isinstance(message, Carried):
+            if not isinstance(message, RelayedBytes):
                 name = type(message).__name__
                 raise ConnectionAbortedError(
                     f'unexpected {name} message on a lent connection',
@@ -159,7 +159,7 @@
 async def _relay_responses(channel: StreamChannel, stream: ByteStream) -> None:
     while chunk := await stream.receive():
         try:
-            await channel.send(Carried(chunk))
+            await channel.send(RelayedBytes(chunk))
         except ConnectionError:
             # The borrower has disconnected; the other direction fails as well.
             return
--- a/deckdrum/node/services.py
+++ b/deckdrum/node/services.py
@@ -9,9 +9,9 @@
 from deckdrum.control import Kind, Member, ServiceDeclaration
 from deckdrum.forwarding import Forwarder
 from deckdrum.leadership.context import LeadershipContext
-from deckdrum.leadership.supervision import Supervisor
+from deckdrum.leadership.supervision import PrimaryMonitor
 from deckdrum.node.statistics_logger import StatisticsLogger
-from deckdrum.serving.execution import Execution
+from deckdrum.serving.execution import StatementExecutor
 from deckdrum.serving.routing import Router
 from deckdrum.serving.runners import StatementRunner
 from deckdrum.serving.service import ServiceRuntime
@@ -50,13 +50,13 @@
         self.statistics_logger = StatisticsLogger(
             self.services, counters, journal
         )
-        self._executions: dict[str, Execution] = {}
+        self._executors: dict[str, StatementExecutor] = {}
         self._forwarders: dict[str, Forwarder] = {}
         self._supervisor_tasks: list[Any] = []
 
-    def find_execution(self, service: str) -> Execution | None:
+    def find_executor(self, service: str) -> StatementExecutor | None:
         """Return what runs a group's statements on this node."""
-        return self._executions.get(service)
+        return self._executors.get(service)
 
     def find_runner(
         self,
@@ -65,9 +65,9 @@
     ) -> StatementRunner | None:
         """Return the local or remote runner of a workspace's statements."""
         runtime = self.services.get(service)
-        if runtime is not None and runtime.holding.find_holders(workspace):
+        if runtime is not None and runtime.allocator.find_holders(workspace):
             return self._forwarders[service]
-        return self.find_execution(service)
+        return self.find_executor(service)
 
     async def apply_view(self, own: Member, *, was_registered: bool) -> None:
         """Update groups, servers, leadership and allocation from the view.
@@ -110,11 +110,13 @@
             for server in view.servers.values()
             if server.service == name
         }
-        await runtime.adopt_servers(listed, view.find_departure)
-        await runtime.deal(declaration, own, view.members, workspace_count)
+        await runtime.apply_servers(listed, view.get_drain_status)
+        await runtime.allocate_connections(
+            declaration, own, view.members, workspace_count
+        )
         known = view.get_leadership(name)
         if known is not None:
-            await runtime.leadership_state.adopt_record(*known)
+            await runtime.leadership_state.apply_record(*known)
 
     async def _apply_leadership_proof(self, service: str) -> None:
         """Use the listed leadership records as proof, without asking a server.
@@ -146,16 +148,16 @@
             self._counters,
             self._tools.policies,
         )
-        supervisor = Supervisor(runtime, self._tools)
+        supervisor = PrimaryMonitor(runtime, self._tools)
         runtime.on_server_failure = supervisor.handle_server_failure
         router = Router(runtime, own.data_centre)
-        execution = Execution(runtime, router)
+        executor = StatementExecutor(runtime, router)
         self.services[declaration.name] = runtime
-        self._executions[declaration.name] = execution
+        self._executors[declaration.name] = executor
         self._forwarders[declaration.name] = Forwarder(
             runtime,
             self._tools.peers,
-            execution,
+            executor,
         )
         self._supervisor_tasks.append(
             await curio.spawn(
--- a/deckdrum/node/session_host.py
+++ b/deckdrum/node/session_host.py
@@ -1,6 +1,6 @@
 """Opening callers' sessions and providing the services they depend on."""
 
-from deckdrum.control import Access, ControlView, Route, find_access
+from deckdrum.control import Access, ControlView, Route, authorize
 from deckdrum.fleet.node_peers import NodePeers
 from deckdrum.fleet.settings import NodeSettings
 from deckdrum.limits import LimitClient, LimitCounter
@@ -10,9 +10,9 @@
 from deckdrum.outcomes import Refusal
 from deckdrum.serving import (
     CallerSession,
-    Execution,
     Outcome,
     SessionHost,
+    StatementExecutor,
     StatementRunner,
 )
 from deckdrum.serving.state import SessionState
@@ -79,22 +79,22 @@
     ) -> CallerSession | Refusal:
         """Open a session for a caller with the key of this fingerprint."""
         session = CallerSession(self, database, fingerprint)
-        access = self.find_access(session.state)
+        access = self.authorize(session.state)
         if isinstance(access, Refusal):
             self._session_manager.log_refused_session(database, access)
             return access
         self._session_manager.add(session)
         return session
 
-    def find_access(self, state: SessionState) -> Access | Refusal:
+    def authorize(self, state: SessionState) -> Access | Refusal:
         """Return the access that the current configuration grants."""
-        return find_access(
+        return authorize(
             self._view.configuration,
             state.database,
             state.fingerprint,
         )
 
-    async def spend_limit(self, access: Access) -> Refusal | None:
+    async def admit_operation(self, access: Access) -> Refusal | None:
         """Count an operation against its workspace's limit, or refuse it."""
         return await self._limits.try_begin(access.workspace)
 
@@ -106,11 +106,11 @@
         """Return the local or remote runner of a workspace's statements."""
         return self._service_manager.find_runner(service, workspace)
 
-    def find_execution(self, service: str) -> Execution | None:
+    def find_executor(self, service: str) -> StatementExecutor | None:
         """Return what runs a group's statements on this node."""
-        return self._service_manager.find_execution(service)
+        return self._service_manager.find_executor(service)
 
-    def note_outcome(
+    def record_outcome(
         self,
         session: CallerSession,
         request: Request,
--- a/deckdrum/node/sessions.py
+++ b/deckdrum/node/sessions.py
@@ -120,7 +120,7 @@
         is_refused = isinstance(outcome, Refusal)
         outcome_code = outcome.code if isinstance(outcome, Refusal) else 'done'
         self._counters.record_latency(guarantee, outcome_code, seconds)
-        is_late = route is not None and seconds > route.objective
+        is_late = route is not None and seconds > route.latency_objective
         service = route.service if route else ''
         if _is_counted(request, outcome):
             self._counters.count_statement_outcome(
--- a/deckdrum/node/statistics_logger.py
+++ b/deckdrum/node/statistics_logger.py
@@ -69,5 +69,5 @@
     """Return a node's cumulative connection statistics for a group."""
     total = Counter(runtime.removed_server_stats)
     for handle in runtime.servers.values():
-        total.update(asdict(handle.pool.figures))
+        total.update(asdict(handle.pool.stats))
     return dict(total)
--- a/deckdrum/node/stopping.py
+++ b/deckdrum/node/stopping.py
@@ -32,7 +32,7 @@
         """Number of open connections."""
 
     @abstractmethod
-    async def close_quiet(self, share: float) -> None:
+    async def close_idle_connections(self, share: float) -> None:
         """Close a fraction (0 to 1) of the idle connections."""
 
     @abstractmethod
@@ -84,7 +84,7 @@
         """Run the shutdown steps due after `elapsed` seconds."""
         half = grace_period * TRANSACTION_DRAIN_FRACTION
         if elapsed >= min(READINESS_PROPAGATION_S, half):
-            await self._listener.close_quiet(IDLE_CLOSE_FRACTION)
+            await self._listener.close_idle_connections(IDLE_CLOSE_FRACTION)
         if elapsed >= half:
             self._node.is_closing_sessions = True
             await self._node.rollback_transactions('the node stops')
@@ -94,5 +94,5 @@
             await self._listener.stop_accepting()
 
     def _is_drained(self) -> bool:
-        is_used_by_others = self._node.lent or self._node.forwarded
+        is_used_by_others = self._node.lent_connections or self._node.forwarded
         return not self._listener.connections and not is_used_by_others
--- a/deckdrum/node/tests/test_lifecycle.py
+++ b/deckdrum/node/tests/test_lifecycle.py
@@ -12,7 +12,7 @@
     SERVICE,
     Deployment,
     LineClient,
-    play,
+    run_scenario,
 )
 from deckdrum.utils import Address
 
@@ -24,18 +24,18 @@
         await deployment.stop_node(deployment.nodes.pop(2))
         await deployment.wait_for(lambda: len(node.view.members) == 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_lost_registration_is_renewed() -> None:
     async def scenario(deployment: Deployment) -> None:
         node = deployment.nodes[0].node
         await deployment.wait_for(lambda: len(node.view.members) == 3)
-        await deployment.store.drop('deckdrum-members', 'n1')
+        await deployment.store.delete('deckdrum-members', 'n1')
         await curio.sleep(2.5)
         assert len(node.view.members) == 3
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connections_are_allocated_evenly_to_nodes() -> None:
@@ -49,10 +49,10 @@
             for handle in running.node.services[SERVICE].servers.values()
         ]
         assert set(slots) == {1, 2}
-        # Half of 23 for event of three servers, rounded down.
+        # Half of 23 for each of three servers, rounded down.
         assert sum(slots) == 3 * 11
 
-    play(scenario, nodes=6, max_connections=23)
+    run_scenario(scenario, nodes=6, max_connections=23)
 
 
 def test_stopping_node_is_not_ready_but_serves_open_sessions() -> None:
@@ -64,7 +64,7 @@
         assert not node.is_ready
         assert (await client.ask('WRITE a 1')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_only_idle_connections_are_closed() -> None:
@@ -75,12 +75,12 @@
         await busy.ask('WRITE a 1')
         frontend = deployment.nodes[0].frontend
         await deployment.nodes[0].node.begin_shutdown()
-        await frontend.close_quiet(1.0)
+        await frontend.close_idle_connections(1.0)
         assert await quiet.stream.receive() == b''
         assert (await busy.ask('COMMIT')).is_done
         assert frontend.connections == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_shutdown_rolls_back_open_transactions_as_reported() -> None:
@@ -93,7 +93,7 @@
         assert reply.text.startswith('ABORTED')
         assert not deployment.group.primary.log
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_requests_during_shutdown_are_answered() -> None:
@@ -119,7 +119,7 @@
         assert not unanswered
         await running.store.close()
 
-    play(scenario, work=0.3)
+    run_scenario(scenario, work=0.3)
 
 
 async def _call_until_refused(
@@ -132,7 +132,7 @@
             client = await LineClient.connect(address, CURRENT)
         except ConnectionError:
             return
-        # The node may close idle sessions, so only the first request of event
+        # The node may close idle sessions, so only the first request of each
         # must be answered; callers repeat the others.
         if not await _is_answered(client, 'READ a'):
             unanswered.append('READ a')
@@ -157,11 +157,11 @@
         await curio.sleep(0.5)
         configuration = deployment.nodes[0].node.view.configuration
         assert configuration is not None
-        await running.node.view.adopt_configuration(configuration)
+        await running.node.view.apply_configuration(configuration)
         client = await asking.join()
         assert client.greeting.state == 'I'
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_caller_of_a_node_without_configuration_is_refused_as_not_run() -> None:
@@ -171,7 +171,7 @@
         client = await deployment.connect(CURRENT, 3)
         assert client.greeting.text.startswith('BUSY not run')
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_node_starts_from_its_peers_while_the_store_is_unavailable() -> None:
@@ -187,7 +187,7 @@
         client = await deployment.connect(CURRENT, node=3)
         assert (await client.ask('WRITE a 1')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_refused_and_late_requests_are_logged_with_their_id() -> None:
@@ -204,7 +204,7 @@
         await client.read_reply()
         return [json.loads(line) for line in lines.getvalue().splitlines()]
 
-    entries = play(scenario, work=0.3)
+    entries = run_scenario(scenario, work=0.3)
     entries = [
         entry
         for entry in entries
@@ -235,7 +235,7 @@
             await curio.sleep(0.05)
         assert done
 
-    play(scenario, nodes=5)
+    run_scenario(scenario, nodes=5)
 
 
 def test_minority_of_nodes_changes_no_primary() -> None:
@@ -248,7 +248,7 @@
         await curio.sleep(8)
         assert not deployment.group.promotions
 
-    play(scenario, nodes=5)
+    run_scenario(scenario, nodes=5)
 
 
 async def _fail_nodes(
@@ -257,7 +257,7 @@
 ) -> None:
     """Make nodes unresponsive until the others have marked them as gone."""
     for number in numbers:
-        deployment.nodes[number].node.peers.answer = _never_answer
+        deployment.nodes[number].node.peers.answer_request = _never_answer
         # Keeps them from renewing their own entries in the store.
         deployment.store.turned_away[f'n{number}'] = StoreFault.SILENT
     await curio.sleep(16)
@@ -278,7 +278,7 @@
         await curio.sleep(3)
         assert not deployment.nodes[0].node.view.members[name].is_gone
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 async def _never_answer(_: object) -> None:
@@ -294,4 +294,4 @@
         # The primary, and one replica for the leadership proof.
         assert max(asked) <= 2
 
-    play(scenario, settle=0)
+    run_scenario(scenario, settle=0)
--- a/deckdrum/operations/answers.py
+++ b/deckdrum/operations/answers.py
@@ -26,7 +26,7 @@
     completion : str
         Signature by which the server proves that it ran the statement; empty
         if the proxy itself has answered.
-    standing : Standing
+    transaction_state : TransactionState
         State of the transaction after the operation.
     position : Position or None
         Log position of the server, if it reported one.
@@ -34,7 +34,7 @@
 
     rows: tuple[str, ...] = ()
     completion: str = ''
-    standing: TransactionState = TransactionState.IDLE
+    transaction_state: TransactionState = TransactionState.IDLE
     position: Position | None = None
 
 
@@ -76,7 +76,7 @@
 
     cause: RejectionCause
     text: str = ''
-    standing: TransactionState = TransactionState.IDLE
+    transaction_state: TransactionState = TransactionState.IDLE
     position: Position | None = None
 
     @property
--- a/deckdrum/operations/requests.py
+++ b/deckdrum/operations/requests.py
@@ -58,7 +58,7 @@
 
     name: str
     effect: Effect
-    shape: str
+    template: str
 
 
 @dataclass(frozen=True, slots=True)
--- a/deckdrum/platform/backends.py
+++ b/deckdrum/platform/backends.py
@@ -61,13 +61,13 @@
     @property
     def is_usable(self) -> bool:
         """Whether the connection is open and has no unread data."""
-        return self.stream.is_quiet() and not self._reader.has_unread
+        return self.stream.is_idle() and not self._reader.has_unread
 
     async def run(self, call: Call) -> Answer | Rejection:
         """Run an operation and return its complete answer."""
         text = encode_operation(call.operation)
-        if call.floor is not None and call.floor > LOG_START:
-            text = f'AFTER {encode_position(call.floor)} {text}'
+        if call.min_position is not None and call.min_position > LOG_START:
+            text = f'AFTER {encode_position(call.min_position)} {text}'
         return await self._query(call.request_id or PROXY_REQUEST_ID, text)
 
     async def read_status(self) -> ServerStatus | Rejection:
@@ -177,7 +177,7 @@
         reader = LineReader(stream)
         try:
             async with curio.timeout_after(timeout):
-                opened_at = await self._start(
+                position_at_open = await self._start(
                     stream,
                     reader,
                     workspace or self._node,
@@ -192,7 +192,7 @@
             raise
         link = self.wrap(stream)
         link.workspace = workspace or ''
-        link.opened_at = opened_at
+        link.position_at_open = position_at_open
         return link
 
     def wrap(self, stream: ByteStream) -> BackendLink:
--- a/deckdrum/platform/configuration.py
+++ b/deckdrum/platform/configuration.py
@@ -220,7 +220,7 @@
         guarantee=_GUARANTEES[raw.kind],
         max_age=max_age,
         statement_timeout=raw.timeout_ms / _MS,
-        objective=raw.objective_ms / _MS,
+        latency_objective=raw.objective_ms / _MS,
         priority=raw.priority,
         is_public=raw.public,
     )
--- a/deckdrum/platform/frontend.py
+++ b/deckdrum/platform/frontend.py
@@ -52,7 +52,7 @@
             self._session is not None and self._session.is_inactive
         )
         has_bytes = self._reader.has_unread
-        return is_session_idle and not has_bytes and self._stream.is_quiet()
+        return is_session_idle and not has_bytes and self._stream.is_idle()
 
     async def run(self) -> None:
         """Serve the client until it disconnects."""
@@ -153,7 +153,7 @@
         """Close every connection."""
         await self._listener.close()
 
-    async def close_quiet(self, share: float) -> None:
+    async def close_idle_connections(self, share: float) -> None:
         """Close a fraction (0 to 1) of the idle connections."""
         for connection in list(self._connections):
             is_chosen = self._randomness.random() < share
--- a/deckdrum/platform/promotion_client.py
+++ b/deckdrum/platform/promotion_client.py
@@ -54,8 +54,8 @@
         )
         headers = {
             'content-type': 'application/json',
-            _HOLDER_HEADER: request.holder,
-            _FENCE_HEADER: str(request.fence),
+            _HOLDER_HEADER: request.requested_by,
+            _FENCE_HEADER: str(request.fencing_token),
         }
         http_request = Request('POST', '/promote', {}, headers, body)
         try:
--- a/deckdrum/platform/statements.py
+++ b/deckdrum/platform/statements.py
@@ -132,7 +132,7 @@
 
 def _encode_prepare(operation: Prepare) -> str:
     effect = operation.effect.name
-    return f'PREPARE {operation.name} {effect} {operation.shape}'
+    return f'PREPARE {operation.name} {effect} {operation.template}'
 
 
 _Encoders = MappingProxyType[type, Callable[..., str]]
--- a/deckdrum/platform/tests/test_foreign_entries.py
+++ b/deckdrum/platform/tests/test_foreign_entries.py
@@ -23,7 +23,7 @@
     read_object,
 )
 from deckdrum.testing.aims import WRITE_GAP_P99_S
-from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, play
+from deckdrum.testing.nodes import CURRENT, SERVICE, Deployment, run_scenario
 
 #: Random objects per kind.
 MAX_EXAMPLES = 2_600
@@ -216,7 +216,7 @@
             lambda: all(replica.name in node.view.servers for node in nodes)
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('spec', [{}, 'x', {'term': 'x'}, [[[]]]])
@@ -235,7 +235,7 @@
         assert await client.write_until_done() < WRITE_GAP_P99_S
         await deployment.wait_for(partial(_is_registered, deployment, 'n1'))
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def _is_registered(deployment: Deployment, name: str) -> bool:
--- a/deckdrum/platform/tests/test_golden.py
+++ b/deckdrum/platform/tests/test_golden.py
@@ -12,7 +12,7 @@
     OWN_WRITES,
     Deployment,
     LineClient,
-    play,
+    run_scenario,
 )
 
 _SESSIONS: Final = {
@@ -61,11 +61,11 @@
             await curio.sleep(0.1)
         parts.extend(
             f'ran on a {_find_role(deployment, ran.server)}: {ran.text}'
-            for ran in deployment.group.ran
+            for ran in deployment.group.executed_statements
         )
         return '\n'.join(parts)
 
-    transcript = play(scenario)
+    transcript = run_scenario(scenario)
     # Signatures contain the number of the statement in its database group.
     transcript = re.sub(r'COMPLETE i-\S+', 'COMPLETE (signature)', transcript)
     file_regression.check(f'{transcript}\n')
--- a/deckdrum/platform/tests/test_wire.py
+++ b/deckdrum/platform/tests/test_wire.py
@@ -31,7 +31,7 @@
     encode_position,
 )
 from deckdrum.sessions import Position
-from deckdrum.testing.nodes import CURRENT, Deployment, LineClient, play
+from deckdrum.testing.nodes import CURRENT, Deployment, LineClient, run_scenario
 from deckdrum.utils import dial
 
 #: Error words that guarantee to clients that no change was kept.
@@ -178,7 +178,7 @@
 def test_prepared_statement_may_contain_spaces() -> None:
     operation = decode_operation('PREPARE s1 WRITE a b c')
     assert isinstance(operation, Prepare)
-    assert operation.shape == 'a b c'
+    assert operation.template == 'a b c'
     assert not isinstance(operation, Run)
 
 
@@ -203,10 +203,10 @@
         reply = await broken.read_reply()
         assert reply.text.startswith('MALFORMED')
         assert await broken.stream.receive() == b''
-        assert not deployment.group.ran
+        assert not deployment.group.executed_statements
         assert (await other.ask('WRITE a 1')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_connection_closed_within_a_message_is_removed() -> None:
@@ -218,7 +218,7 @@
             lambda: deployment.nodes[0].frontend.connections == 0,
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_unknown_database_is_refused() -> None:
@@ -229,7 +229,7 @@
         reply = await client.read_reply()
         assert reply.text.startswith('NODB')
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
@@ -242,4 +242,4 @@
         assert all(reply.is_done for reply in replies)
         assert replies[2].rows == ['b-2']
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/proxy/cancelling.py
+++ b/deckdrum/proxy/cancelling.py
@@ -60,7 +60,7 @@
         for instance in self._membership.proxies.values():
             if compute_proxy_tag(instance.name) == tag:
                 message = CancelCaller(key.process, key.secret)
-                await self._peers.ask(instance.endpoint, message)
+                await self._peers.send_request(instance.endpoint, message)
 
     async def cancel_own_caller(self, key: CancelKey) -> None:
         """Cancel the request of one of this proxy's callers."""
@@ -79,4 +79,4 @@
         instance = self._membership.proxies.get(opened.keeper)
         if instance is not None:
             cancel = CancelChannel(opened.channel_id)
-            await self._peers.ask(instance.endpoint, cancel)
+            await self._peers.send_request(instance.endpoint, cancel)
--- a/deckdrum/proxy/configuration_fetching.py
+++ b/deckdrum/proxy/configuration_fetching.py
@@ -60,7 +60,7 @@
         for _ in range(min(_PEERS_PER_ROUND, len(addresses))):
             self._peer_index += 1
             address = addresses[self._peer_index % len(addresses)]
-            answer = await self._peers.ask_configuration(
+            answer = await self._peers.fetch_configuration(
                 address,
                 self._view.number,
             )
@@ -70,12 +70,12 @@
     async def _apply(self, answer: ConfigurationAnswer) -> None:
         try:
             if answer.number:
-                await self._view.adopt_configuration(
+                await self._view.apply_configuration(
                     ConfigurationRecord.decode(answer.body),
                 )
             for version, body in answer.records:
                 record = GroupRecord.decode(body)
-                self._view.adopt_record(VersionedRecord(version, record))
+                self._view.apply_record(VersionedRecord(version, record))
         except ValidationError:
             return
 
--- a/deckdrum/proxy/core.py
+++ b/deckdrum/proxy/core.py
@@ -92,7 +92,7 @@
         self._peer_server = PeerServer(self)
         self.admin = AdminPort(self)
         self._stop_requested = curio.Event()
-        self._callers = Listener(
+        self._caller_listener = Listener(
             Address.parse(settings.listen),
             self._serve_caller,
         )
@@ -121,7 +121,7 @@
     @property
     def address(self) -> Address:
         """Address on which the proxy accepts callers."""
-        return self._callers.address
+        return self._caller_listener.address
 
     async def start(self) -> None:
         """Start all components and accept callers."""
@@ -134,7 +134,7 @@
             self._run_maintenance,
         ):
             self._tasks.append(await curio.spawn(run, daemon=True))
-        await self._callers.start()
+        await self._caller_listener.start()
         self.journal.record('proxy.started', proxy=self.name)
 
     async def request_stop(self) -> None:
@@ -166,7 +166,7 @@
         self.membership.is_leaving = True
         self.keeper_manager.start_draining()
         self.journal.record('proxy.draining', proxy=self.name)
-        await self._callers.stop_accepting()
+        await self._caller_listener.stop_accepting()
         is_done = False
         async with curio.ignore_after(self.settings.drain_limit):
             while not is_done:
@@ -183,7 +183,7 @@
         """Close all components without draining."""
         for task in self._tasks:
             await task.cancel()
-        await self._callers.close()
+        await self._caller_listener.close()
         await self._peer_server.close()
         await self.admin.close()
         await self.keeper_manager.close()
@@ -207,7 +207,7 @@
         await self._channel_opener.suspect(keeper)
 
     async def is_running(self, keeper: str) -> bool:
-        """Tell whether a keeper's process answers a heartbeat."""
+        """Return whether a keeper's process answers a heartbeat."""
         return await self._channel_opener.is_running(keeper)
 
     async def cancel_channel(self, opened: OpenedChannel) -> None:
@@ -244,7 +244,7 @@
 
     async def _run_maintenance(self) -> None:
         while True:
-            self.membership.adopt(self.view.instances)
+            self.membership.apply(self.view.instances)
             document = self.document
             if document is not None:
                 self.classifier = self._find_classifier(document)
--- a/deckdrum/proxy/keeper_manager.py
+++ b/deckdrum/proxy/keeper_manager.py
@@ -157,7 +157,7 @@
         await channel.send(BatchRefused(refusal.code.value, refusal.text))
 
     def _is_preferred_keeper(self, service: str) -> bool:
-        """Tell whether this proxy ranks first among the service's keepers."""
+        """Return whether this proxy ranks first among the service's keepers."""
         ranked = rank_keepers(service, self._membership.proxies)
         return ranked[0] == self._membership.own.name
 
--- a/deckdrum/proxy/opening.py
+++ b/deckdrum/proxy/opening.py
@@ -80,12 +80,12 @@
         instance = self._membership.proxies.get(opened.keeper)
         channel = opened.channel
         if isinstance(channel, StreamChannel) and instance is not None:
-            await self._peers.channels.keep(instance.endpoint, channel)
+            await self._peers.channels.put_back(instance.endpoint, channel)
         else:
             await channel.close()
 
     async def is_running(self, keeper: str) -> bool:
-        """Tell whether a keeper's process answers a heartbeat.
+        """Return whether a keeper's process answers a heartbeat.
 
         The kernel keeps the connections of a frozen process open and accepts
         new ones, so an open connection does not show that the process runs.
@@ -111,7 +111,7 @@
         instance = self._membership.proxies.get(keeper)
         if instance is None:
             return False
-        answer = await self._peers.ask(instance.endpoint, Heartbeat())
+        answer = await self._peers.send_request(instance.endpoint, Heartbeat())
         return answer is not None
 
     async def _open_local(self, request: OpenChannel) -> OpenedChannel:
--- a/deckdrum/serving/__init__.py
+++ b/deckdrum/serving/__init__.py
@@ -1,6 +1,6 @@
 """Sessions, routing, retries and transactions for callers' operations."""
 
-from deckdrum.serving.execution import Execution
+from deckdrum.serving.execution import StatementExecutor
 from deckdrum.serving.host import Outcome, SessionHost
 from deckdrum.serving.runners import StatementRunner
 from deckdrum.serving.service import ServiceRuntime
@@ -8,9 +8,9 @@
 
 __all__ = [
     'CallerSession',
-    'Execution',
     'Outcome',
     'ServiceRuntime',
     'SessionHost',
+    'StatementExecutor',
     'StatementRunner',
 ]
--- a/deckdrum/serving/allocation.py
+++ b/deckdrum/serving/allocation.py
@@ -115,7 +115,7 @@
                 inputs.workspace_count,
             )
             if Policy.NEAREST_CONNECTIONS not in self._policies:
-                allocation = allocation.level()
+                allocation = allocation.to_uniform()
             lenders = self._list_lenders(allocation, own, members)
             slots = allocation.holders.get(own.name, 0)
             await handle.apply_allocation(lenders, slots, shares)
--- a/deckdrum/serving/attempts.py
+++ b/deckdrum/serving/attempts.py
@@ -28,8 +28,8 @@
 #: Lower bound for the timeout of an attempt.
 _MIN_ATTEMPT_TIMEOUT_S: Final = 0.005
 #: Timeout for acquiring and preparing a connection.  It exceeds the wait for
-#: one of few connections (`FEW_WAIT`) and leaves time for a second attempt
-#: within a statement limit of 1 s.
+#: one of few connections (`SCARCE_CONNECTION_TIMEOUT_S`) and leaves time for a
+#: second attempt within a statement limit of 1 s.
 PREPARE_TIMEOUT_S: Final = 0.4
 #: Timeout for the wait in the local queue.  The rest of `PREPARE_TIMEOUT_S` is
 #: for opening a connection, so that a timeout there indicates a server failure.
@@ -135,7 +135,7 @@
             now, now - self.started_at if has_answer else None
         )
         if self.begin is None or not isinstance(outcome, Answer):
-            await self._release_lease(outcome.standing)
+            await self._release_lease(outcome.transaction_state)
         return outcome
 
     def is_overdue(self, now: float) -> bool:
@@ -218,7 +218,9 @@
         rejection = await prepare_link(lease.link, self.state, self.operation)
         if rejection is not None or self.begin is None:
             return rejection
-        begun = await lease.link.run(Call(self.begin, floor=self.min_position))
+        begun = await lease.link.run(
+            Call(self.begin, min_position=self.min_position)
+        )
         return begun if isinstance(begun, Rejection) else None
 
     async def _give_up(self, reason: str, *, is_late: bool) -> NoAnswer:
@@ -268,7 +270,7 @@
     """Run a caller's statement on a prepared connection."""
     if isinstance(operation, Execute):
         statement = state.prepared[operation.name]
-        name = link.state.prepared[statement.effect, statement.shape]
+        name = link.state.prepared[statement.effect, statement.template]
         operation = Execute(name, operation.arguments)
     return await link.run(Call(operation, request_id, min_position))
 
@@ -315,14 +317,14 @@
     link: BackendLink,
     statement: PreparedStatement,
 ) -> Rejection | None:
-    key = (statement.effect, statement.shape)
+    key = (statement.effect, statement.template)
     if key in link.state.prepared:
         return None
     # A name is never reused on a connection: it must not refer to another
     # caller's statement.
     name = f'p{len(link.state.prepared) + 1}'
     reply = await link.run(
-        Call(Prepare(name, statement.effect, statement.shape)),
+        Call(Prepare(name, statement.effect, statement.template)),
     )
     if isinstance(reply, Rejection):
         return reply
--- a/deckdrum/serving/execution.py
+++ b/deckdrum/serving/execution.py
@@ -48,7 +48,7 @@
 MAX_CONCURRENT_ATTEMPTS: Final = 3
 
 
-class Execution(StatementRunner):
+class StatementExecutor(StatementRunner):
     """Runs callers' statements on the servers of one database group.
 
     Parameters
@@ -69,7 +69,7 @@
         self._budget = RetryBudget(capacity)
         self._retry_policy = RetryPolicy(runtime, self._budget)
 
-    async def run_single(
+    async def run_autocommit(
         self,
         request: Request,
         effect: Effect,
@@ -146,7 +146,7 @@
                 proof_until=leadership_state.get_proof_expiry(),
             )
             return refuse(Code.UNCONFIRMED, f'term {term} has ended')
-        state.note_change(answer)
+        state.record_change(answer)
         return answer
 
     def log_refusal(self, refusal: Refusal, dispatch: Dispatch) -> None:
@@ -237,7 +237,7 @@
         if dispatch.running and target.handle.id in dispatch.excluded_servers:
             # The only eligible server is already running the statement.
             return None
-        if target.is_primary and target.handle.is_dark:
+        if target.is_primary and target.handle.is_unreachable:
             # Refuse without waiting.  The report makes supervision ask other
             # nodes whether they reach the primary.
             self.runtime.report_server_failure(target.handle)
@@ -260,7 +260,7 @@
             dispatch.deadline,
             dispatch.begin,
             dispatch.began
-            + route.objective
+            + route.latency_objective
             - target.handle.response_times.mean,
         )
         dispatch.running.append(attempt)
@@ -284,7 +284,7 @@
             server=target.handle.id,
             role='primary' if target.is_primary else 'replica',
             term=target.term,
-            known_for=round(now - target.handle.departure.since, 3),
+            known_for=round(now - target.handle.drain_status.since, 3),
         )
 
     async def _choose_target(
@@ -388,11 +388,11 @@
             else CHANGE_LOST_FACTOR
         )
         for attempt in dispatch.running:
-            if dispatch.is_repeatable and attempt.handle.is_dark:
+            if dispatch.is_repeatable and attempt.handle.is_unreachable:
                 await attempt.abandon()
             if not attempt.is_lost(now, timeout_factor):
                 continue
-            if dispatch.is_repeatable and not self._budget.take():
+            if dispatch.is_repeatable and not self._budget.try_spend():
                 return
             self.runtime.counters.count('answers_lost')
             self.runtime.journal.record_rate_limited(
@@ -432,7 +432,7 @@
         hedge_after = (dispatch.deadline - began) * HEDGE_AFTER_FRACTION
         if not unresponsive and not is_overdue and now - began < hedge_after:
             return False
-        return now < dispatch.deadline and self._budget.take()
+        return now < dispatch.deadline and self._budget.try_spend()
 
     async def _record_success(
         self, dispatch: Dispatch, finished: FinishedAttempt
--- a/deckdrum/serving/host.py
+++ b/deckdrum/serving/host.py
@@ -7,7 +7,7 @@
 from deckdrum.fleet.policies import Policy
 from deckdrum.operations import Answer, Request
 from deckdrum.outcomes import Refusal
-from deckdrum.serving.execution import Execution
+from deckdrum.serving.execution import StatementExecutor
 from deckdrum.serving.runners import StatementRunner
 from deckdrum.serving.state import SessionState
 
@@ -29,11 +29,11 @@
     policies: frozenset[Policy]
 
     @abstractmethod
-    def find_access(self, state: SessionState) -> Access | Refusal:
+    def authorize(self, state: SessionState) -> Access | Refusal:
         """Return the access that the configuration grants to a session."""
 
     @abstractmethod
-    async def spend_limit(self, access: Access) -> Refusal | None:
+    async def admit_operation(self, access: Access) -> Refusal | None:
         """Count an operation against its workspace's limit, or refuse it."""
 
     @abstractmethod
@@ -48,11 +48,11 @@
         """
 
     @abstractmethod
-    def find_execution(self, service: str) -> Execution | None:
+    def find_executor(self, service: str) -> StatementExecutor | None:
         """Return the local executor of a group's statements, if any."""
 
     @abstractmethod
-    def note_outcome(
+    def record_outcome(
         self,
         session: 'CallerSession',
         request: Request,
--- a/deckdrum/serving/proofs.py
+++ b/deckdrum/serving/proofs.py
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    leadership_state : LeadershipBelief
+    leadership_state : LeadershipState
         Leadership state that records the proof.
     list_queries : callable
         Returns one status query per replica, the most promising first.
--- a/deckdrum/serving/retries.py
+++ b/deckdrum/serving/retries.py
@@ -27,11 +27,11 @@
     Examples
     --------
     >>> budget = RetryBudget(capacity=1, refill=0.5)
-    >>> budget.take(), budget.take()
+    >>> budget.try_spend(), budget.try_spend()
     (True, False)
     >>> budget.record_success()
     >>> budget.record_success()
-    >>> budget.take()
+    >>> budget.try_spend()
     True
     """
 
@@ -48,7 +48,7 @@
         """Add the refill of one success."""
         self._tokens = min(self._capacity, self._tokens + self._refill)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry; return whether one was available."""
         if self._tokens < 1:
             return False
@@ -113,7 +113,7 @@
         primary = self._runtime.primary
         if primary is None:
             return refuse(Code.NO_PRIMARY, f'service {self._runtime.name}')
-        if primary.departure.is_past_cutoff(now):
+        if primary.drain_status.is_past_cutoff(now):
             return refuse(Code.NO_PRIMARY, 'it has left, and none follows')
         code = Code.QUEUE_TIMEOUT
         if dispatch.is_read:
@@ -142,7 +142,7 @@
             return await self._back_off(dispatch, finished.target)
         if outcome.cause.is_not_run:
             return await self._back_off(dispatch, finished.target)
-        if dispatch.is_read and self._budget.take():
+        if dispatch.is_read and self._budget.try_spend():
             return None
         if dispatch.begin is not None:
             return refuse(Code.TRANSACTION_LOST, outcome.text)
--- a/deckdrum/serving/routing.py
+++ b/deckdrum/serving/routing.py
@@ -21,7 +21,7 @@
 #: Fraction of the accepted age after which the primary is sampled again.
 SAMPLE_AGE_FRACTION: Final = 0.4
 #: Timeout of a read waiting for a sample of the primary, in seconds.
-SAMPLE_WAIT: Final = 0.15
+READ_SAMPLE_TIMEOUT_S: Final = 0.15
 #: Cost of reading from another data centre as a fraction of the route's
 #: objective.  It reduces paid traffic between data centres.
 REMOTE_COST_FRACTION: Final = 0.1
@@ -102,14 +102,14 @@
             and Policy.SAMPLE_WAIT in self._runtime.policies
         ):
             # Sampling loads the primary less than running the read there.
-            async with curio.ignore_after(min(timeout, SAMPLE_WAIT)):
-                await self._runtime.samples.take()
+            async with curio.ignore_after(min(timeout, READ_SAMPLE_TIMEOUT_S)):
+                await self._runtime.samples.sample()
             min_position = await self._find_min_position(route, state)
         if min_position is not None:
             replica = await self._pick_replica(
                 min_position,
                 excluded_servers,
-                route.objective,
+                route.latency_objective,
                 state.workspace,
             )
             if replica is not None:
@@ -120,7 +120,7 @@
         """Sample the primary if the latest sample is about to be too old."""
         max_age = route.max_age * SAMPLE_AGE_FRACTION
         if await self._runtime.find_min_position(max_age) is None:
-            await self._runtime.samples.take()
+            await self._runtime.samples.sample()
 
     async def _find_min_position(
         self,
@@ -133,7 +133,7 @@
         if min_position is None:
             return None
         if route.guarantee is ConsistencyGuarantee.READ_YOUR_WRITES:
-            return max(min_position, state.floor)
+            return max(min_position, state.min_position)
         return max(min_position, LOG_START)
 
     async def _pick_replica(
--- a/deckdrum/serving/runners.py
+++ b/deckdrum/serving/runners.py
@@ -29,7 +29,7 @@
     """Runs callers' statements on one database group."""
 
     @abstractmethod
-    async def run_single(
+    async def run_autocommit(
         self,
         request: Request,
         effect: Effect,
--- a/deckdrum/serving/samples.py
+++ b/deckdrum/serving/samples.py
@@ -5,7 +5,7 @@
 
 import curio
 
-from deckdrum.backends.position_history import History
+from deckdrum.backends.position_history import PositionHistory
 from deckdrum.control import Member
 from deckdrum.fleet.node_messages import AskSample, SampleAnswer
 from deckdrum.fleet.node_peers import NodePeers
@@ -26,9 +26,9 @@
 
     Parameters
     ----------
-    leadership_state : LeadershipBelief
+    leadership_state : LeadershipState
         Leadership state of the group.
-    history : History
+    history : PositionHistory
         Records the samples.
     peers : NodePeers
         The other nodes.
@@ -43,7 +43,7 @@
     def __init__(
         self,
         leadership_state: LeadershipState,
-        history: History,
+        history: PositionHistory,
         peers: NodePeers,
         counters: Counters,
         pick_collector: Callable[[], Member | None],
@@ -57,11 +57,11 @@
         self._shared_sample = SharedCall(self._sample)
         self._shared_primary_query = SharedCall(sample_primary)
 
-    async def take(self) -> bool:
+    async def sample(self) -> bool:
         """Take a sample; return whether that succeeded."""
         return bool(await self._shared_sample.get())
 
-    async def tell(self) -> SampleAnswer:
+    async def share_sample(self) -> SampleAnswer:
         """Return a recent sample for a peer; take a new one if necessary."""
         asked_at = await curio.clock()
         if asked_at - self._history.latest[1] > MAX_SHARED_AGE_S:
@@ -91,6 +91,6 @@
             return False
         # The peer measured the age after `asked_at`, so its sample is no
         # older than this.
-        self._history.note(answer.term, answer.offset, asked_at - answer.age)
+        self._history.record(answer.term, answer.offset, asked_at - answer.age)
         self._counters.count('samples_by_collector')
         return True
--- a/deckdrum/serving/searches.py
+++ b/deckdrum/serving/searches.py
@@ -112,5 +112,5 @@
     lease = finished.attempt.lease
     if lease is not None and isinstance(finished.outcome, Answer):
         await release_link(
-            finished.target.handle, lease, finished.outcome.standing
+            finished.target.handle, lease, finished.outcome.transaction_state
         )
