--- a/deckdrum/serving/servers.py
+++ b/deckdrum/serving/servers.py
@@ -51,7 +51,7 @@
 COMMAND_POOL_TIMEOUT_S: Final = 0.1
 #: Timeout for a connection if there are few, in seconds.  Idle transactions may
 #: hold them for longer: other lenders or servers are tried instead.
-FEW_WAIT: Final = 0.25
+SCARCE_CONNECTION_TIMEOUT_S: Final = 0.25
 #: Queue group of the proxy's own commands.
 _COMMAND_GROUP: Final = ''
 _SMOOTHING_FACTOR: Final = 0.2
@@ -77,9 +77,9 @@
 
     Parameters
     ----------
-    own : OwnBackend
+    own : DirectBackend
         Opens connections of this node.
-    loans : LoanBackend
+    loans : BorrowingBackend
         Borrows connections from other nodes.
     slots : int
         Maximum number of own connections.
@@ -112,18 +112,18 @@
         self._loan_backend = loans
         self._status_query = SharedCall(self.query_status)
         #: Reason why the latest failed command failed.
-        self.fault = ''
+        self.last_error = ''
         #: Status from the latest command; None if that command failed.
         self.status: ServerStatus | None = None
         #: Planned shutdown of the server, if any.
-        self.departure = DrainStatus()
+        self.drain_status = DrainStatus()
         #: When the server last answered anything.
         self.answered_at = float('-inf')
         #: When a request to the server last timed out.
         self.timed_out_at = float('-inf')
         #: Whether the server neither answers this node nor accepts connections
         #: from it.
-        self.is_dark = False
+        self.is_unreachable = False
         #: Whether the latest failure was a refused or reset connection.
         self.is_refusing = False
         #: Log position reported with the latest rejected command.
@@ -153,11 +153,11 @@
         queues = (self.pool.queue, self.loans.queue)
         return sum(queue.held + queue.waiting for queue in queues)
 
-    def update(self, server: BackendServer, departure: DrainStatus) -> None:
+    def update(self, server: BackendServer, drain_status: DrainStatus) -> None:
         """Apply a new entry of the same server."""
         self.own.server = server
         self._loan_backend.server = server
-        self.departure = departure
+        self.drain_status = drain_status
 
     async def apply_allocation(
         self,
@@ -184,7 +184,7 @@
         """Return whether requests should prefer other servers."""
         return now < self._backoff_until
 
-    def is_silent(self, now: float) -> bool:
+    def has_recent_timeout(self, now: float) -> bool:
         """Return whether a recent request timed out without a later answer."""
         is_fresh = now - self.timed_out_at < RECENT_TIMEOUT_WINDOW_S
         return is_fresh and self.answered_at < self.timed_out_at
@@ -200,7 +200,7 @@
     def record_answer(self, now: float, seconds: float | None = None) -> None:
         """Record an answer, and the duration of a statement in `seconds`."""
         self.answered_at = now
-        self.is_dark = False
+        self.is_unreachable = False
         self.is_refusing = False
         self._backoff = MIN_BACKOFF_S
         self._backoff_until = float('-inf')
@@ -245,7 +245,7 @@
             If the server cannot be reached.
         """
         if self._has_few_connections and Policy.FEW_WAIT in self._policies:
-            timeout = min(timeout, FEW_WAIT)
+            timeout = min(timeout, SCARCE_CONNECTION_TIMEOUT_S)
         if not self.is_holder:
             return await self.loans.acquire(group, timeout, workspace=workspace)
         borrowed = await self._borrow_if_busy(group, timeout, workspace)
@@ -295,7 +295,7 @@
         timeout: float = COMMAND_TIMEOUT_S,
     ) -> ServerStatus | None:
         """Query the server's status; None if that fails."""
-        return await self.execute_command('read_status', limit=timeout)
+        return await self.execute_command('read_status', timeout=timeout)
 
     async def query_status_shared(self) -> ServerStatus | None:
         """Query the status once for all concurrent callers."""
@@ -306,7 +306,7 @@
         self,
         command: str,
         *arguments: int,
-        limit: float = COMMAND_TIMEOUT_S,
+        timeout: float = COMMAND_TIMEOUT_S,
     ) -> ServerStatus | None:
         """Execute a command of the proxy on the server.
 
@@ -316,7 +316,7 @@
             Name of a method of `BackendLink`.
         *arguments : int
             Its arguments, such as a term.
-        limit : float
+        timeout : float
             Timeout in seconds.
 
         Returns
@@ -327,21 +327,21 @@
         asked_at = await curio.clock()
         self.status = None
         try:
-            async with curio.timeout_after(limit):
+            async with curio.timeout_after(timeout):
                 reply = await self._run_command(command, arguments)
         except curio.TaskTimeout:
-            self.fault = self._describe_timeout(command, limit)
+            self.last_error = self._describe_timeout(command, timeout)
             self.record_timeout(await curio.clock())
             return None
         except ConnectionError as error:
-            self.fault = f'{command}: {error!r}'
+            self.last_error = f'{command}: {error!r}'
             self.record_failure(await curio.clock(), error)
             return None
         self.record_answer(await curio.clock())
         if not isinstance(reply, Rejection):
             self.status = reply
             return reply
-        self.fault = f'{command}: {reply.cause}: {reply.text}'
+        self.last_error = f'{command}: {reply.cause}: {reply.text}'
         if reply.position is not None and reply.reports_position:
             self.reported_position = ReportedPosition(reply.position, asked_at)
         return None
--- a/deckdrum/serving/service.py
+++ b/deckdrum/serving/service.py
@@ -14,7 +14,7 @@
     ServerRole,
     ServerStatus,
 )
-from deckdrum.backends.position_history import History
+from deckdrum.backends.position_history import PositionHistory
 from deckdrum.control import ControlStore, Member, Route, ServiceDeclaration
 from deckdrum.control.departures import DrainStatus
 from deckdrum.fleet.borrowing import BorrowingBackend, DirectBackend
@@ -83,7 +83,7 @@
         self.policies = policies
         self.servers: dict[str, ServerHandle] = {}
         self.leadership_state = LeadershipState(declaration.name, journal)
-        self.history = History()
+        self.history = PositionHistory()
         self.journal = journal
         self.counters = counters
         #: Callback for a server that has just failed.
@@ -91,7 +91,7 @@
         #: Whether this node is changing the primary.
         self.is_changing_primary = False
         #: Allocation of the group's connections to nodes.
-        self.holding = ConnectionAllocator(declaration.name, peers, policies)
+        self.allocator = ConnectionAllocator(declaration.name, peers, policies)
         #: Number of statements that run on the primary.
         self.in_flight = 0
         self._make_backend = make_backend
@@ -139,7 +139,7 @@
             if name != self.leadership_state.primary
         ]
 
-    def has_log(self, name: str, end: Position) -> bool:
+    def is_promotable(self, name: str, end: Position) -> bool:
         """Return whether a server whose log ends at `end` can be promoted.
 
         A restarted server may have lost its log.  It qualifies only once its
@@ -151,14 +151,14 @@
         known = Position(self.history.term, self.history.latest[0])
         return known > LOG_START and end >= known
 
-    async def adopt_servers(
+    async def apply_servers(
         self,
         listed: Mapping[str, BackendServer],
-        find_departure: Callable[[str], DrainStatus],
+        get_drain_status: Callable[[str], DrainStatus],
     ) -> None:
         """Apply the directory's list of this group's servers.
 
-        `find_departure` returns the planned shutdown of a server.
+        `get_drain_status` returns the planned shutdown of a server.
         """
         for name, server in listed.items():
             handle = self.servers.get(name)
@@ -177,23 +177,23 @@
                 handle = ServerHandle(
                     own,
                     BorrowingBackend(
-                        own, self._peers.loans, self._peers.health
+                        own, self._peers.loan_streams, self._peers.health
                     ),
                     MIN_LOCAL_CONNECTIONS,
                     self._shares,
                     self.policies,
                 )
                 self.servers[name] = handle
-            handle.update(server, find_departure(name))
+            handle.update(server, get_drain_status(name))
         for removed in self.servers.keys() - listed.keys():
             await self._remove_server(self.servers[removed])
         starts = {
             handle.id: handle.server.started_at
             for handle in self.servers.values()
         }
-        await self.leadership_state.adopt_servers(self.servers, starts)
+        await self.leadership_state.apply_servers(self.servers, starts)
 
-    async def deal(
+    async def allocate_connections(
         self,
         declaration: ServiceDeclaration,
         own: Member,
@@ -214,12 +214,12 @@
                 for handle in self.servers.values()
             ),
         )
-        if self.holding.is_allocated_for(inputs):
+        if self.allocator.is_allocated_for(inputs):
             return
         if Policy.SHARED_PROOF in self.policies:
             remaining = list_remaining_nodes(own, members)
             self._proofs.pick_collector(own, members, remaining)
-        await self.holding.allocate(inputs, own, self.servers, self._shares)
+        await self.allocator.allocate(inputs, own, self.servers, self._shares)
 
     async def set_route_share(self, route: Route) -> None:
         """Set the connection share of a route's callers."""
@@ -234,7 +234,7 @@
     def record_position(self, position: Position, started_at: float) -> None:
         """Record a position of the primary's log sampled after `started_at`."""
         if position.term == self.leadership_state.term:
-            self.history.note(position.term, position.offset, started_at)
+            self.history.record(position.term, position.offset, started_at)
 
     async def find_min_position(self, max_age: float) -> Position | None:
         """Return the position that a read no older than `max_age` must include.
@@ -249,10 +249,10 @@
             None if this node has no sample that is recent enough.
         """
         now = await curio.clock()
-        offset = self.history.find_floor(max_age, now)
+        offset = self.history.find_min_offset(max_age, now)
         return None if offset is None else Position(self.history.term, offset)
 
-    async def ask(self, handle: ServerHandle) -> ServerStatus | None:
+    async def query_server(self, handle: ServerHandle) -> ServerStatus | None:
         """Query a server's status and apply it to the leadership state."""
         asked_at = await curio.clock()
         self.counters.count('status_questions')
@@ -262,7 +262,7 @@
                 'server.unanswered',
                 service=self.name,
                 server=handle.id,
-                reason=handle.fault,
+                reason=handle.last_error,
             )
             self.report_server_failure(handle)
             return None
@@ -355,18 +355,18 @@
         self,
         term: int,
         may_finish: bool,
-        fence: int,
+        fencing_token: int,
     ) -> None:
         """End a term; changes of it that are answered later are not confirmed.
 
-        `fence` is the revision of the claim that ends the term.
+        `fencing_token` is the revision of the claim that ends the term.
 
         If `may_finish` is set, running statements get up to
         `TERM_DRAIN_TIMEOUT_S` to finish.  Changes answered after that have an
         unknown outcome.
         """
         await self.leadership_state.end_term(
-            term, 'primary change in progress', fence
+            term, 'primary change in progress', fencing_token
         )
         async with curio.ignore_after(TERM_DRAIN_TIMEOUT_S):
             while may_finish and self.in_flight:
@@ -381,7 +381,7 @@
     async def _remove_server(self, handle: ServerHandle) -> None:
         """Remove a server or a previous incarnation of it."""
         self.servers.pop(handle.id)
-        self.removed_server_stats.update(asdict(handle.pool.figures))
+        self.removed_server_stats.update(asdict(handle.pool.stats))
         handle.is_holder = False
         await handle.pool.close_idle()
 
@@ -405,7 +405,7 @@
             return False
         started_at = await curio.clock()
         self.counters.count('primary_samples')
-        status = await self.ask(primary)
+        status = await self.query_server(primary)
         position = None if status is None else status.received
         reported = primary.reported_position
         if position is None and reported and reported.asked_at >= started_at:
@@ -419,7 +419,7 @@
     async def _query_each(self, handles: Iterable[ServerHandle]) -> None:
         async with curio.TaskGroup() as queries:
             for handle in handles:
-                await queries.spawn(self.ask, handle)
+                await queries.spawn(self.query_server, handle)
 
     def _list_proof_queries(self) -> list[ProofQuery]:
         """Return one status query per replica, the most promising first."""
@@ -427,7 +427,7 @@
             self.replicas,
             key=lambda handle: (handle.timed_out_at, handle.load),
         )
-        return [partial(self.ask, handle) for handle in ranked]
+        return [partial(self.query_server, handle) for handle in ranked]
 
     async def _find_primary(self, timeout: float) -> None:
         if self.leadership_state.term and not self.leadership_state.has_primary:
@@ -439,11 +439,11 @@
 
 
 def _has_left(handle: ServerHandle | None, now: float) -> bool:
-    return handle is not None and handle.departure.is_past_cutoff(now)
+    return handle is not None and handle.drain_status.is_past_cutoff(now)
 
 
 def _have_all_left(servers: Mapping[str, ServerHandle], now: float) -> bool:
     """Return whether there are servers and none accepts new statements."""
     return bool(servers) and all(
-        handle.departure.is_past_cutoff(now) for handle in servers.values()
+        handle.drain_status.is_past_cutoff(now) for handle in servers.values()
     )
--- a/deckdrum/serving/session.py
+++ b/deckdrum/serving/session.py
@@ -60,7 +60,7 @@
     @property
     def standing(self) -> TransactionState:
         """Transaction status of the session."""
-        return self.state.standing
+        return self.state.transaction_state
 
     @property
     def is_inactive(self) -> bool:
@@ -83,7 +83,7 @@
             self.is_busy = False
             self.idle_since = await curio.clock()
         seconds = self.idle_since - began
-        self._host.note_outcome(self, request, outcome, seconds)
+        self._host.record_outcome(self, request, outcome, seconds)
         return outcome
 
     async def abort_transaction(self, reason: str) -> None:
@@ -124,9 +124,9 @@
             return _refuse_out_of_order(request)
         self.state.prepared[operation.name] = PreparedStatement(
             operation.effect,
-            operation.shape,
+            operation.template,
         )
-        return Answer(standing=self.standing)
+        return Answer(transaction_state=self.standing)
 
     async def _deallocate(self, request: Request) -> Outcome:
         operation = request.operation
@@ -134,7 +134,7 @@
             return _refuse_out_of_order(request)
         if self.state.prepared.pop(operation.name, None) is None:
             return refuse(Code.UNKNOWN_STATEMENT, operation.name)
-        return Answer(standing=self.standing)
+        return Answer(transaction_state=self.standing)
 
     async def _begin(self, request: Request) -> Outcome:
         operation = request.operation
@@ -145,7 +145,7 @@
         if isinstance(access, Refusal):
             return access
         self.state.transaction = Transaction(operation.read_only, access.route)
-        return Answer(standing=TransactionState.OPEN)
+        return Answer(transaction_state=TransactionState.OPEN)
 
     async def _rollback(self, request: Request) -> Outcome:
         transaction = self.state.transaction
@@ -189,7 +189,7 @@
         )
         if runner is None:
             return refuse(Code.NOT_CONFIGURED, route.service)
-        return await runner.run_single(request, effect, route, self.state)
+        return await runner.run_autocommit(request, effect, route, self.state)
 
     async def _run_in_transaction(
         self,
@@ -210,11 +210,11 @@
 
         The workspace is stored in the session's state.
         """
-        access = self._host.find_access(self.state)
+        access = self._host.authorize(self.state)
         if isinstance(access, Refusal):
             return access
         self.state.workspace = access.workspace.name
-        return await self._host.spend_limit(access) or access
+        return await self._host.admit_operation(access) or access
 
     def _take_unreported_failure(self) -> Refusal | None:
         """Return a refusal for a rolled back transaction, once."""
--- a/deckdrum/serving/state.py
+++ b/deckdrum/serving/state.py
@@ -23,7 +23,7 @@
     """A prepared statement of a caller."""
 
     effect: Effect
-    shape: str
+    template: str
 
 
 @dataclass(slots=True)
@@ -45,12 +45,12 @@
         request: Request,
         prepared: PreparedStatement | None,
         *,
-        may_last: bool,
+        may_have_committed: bool,
     ) -> Answer | Refusal:
         """Run a statement of the transaction.
 
-        A refusal ends the transaction.  `may_last` says that the statement may
-        commit changes, so its outcome is unknown if no answer arrives.
+        A refusal ends the transaction.  `may_have_committed` says that the
+        statement may commit changes, so its outcome is unknown if no answer arrives.
         """
 
     @abstractmethod
@@ -109,7 +109,7 @@
         Session variables set by the caller.
     prepared : dict of str to PreparedStatement
         Prepared statements by name.
-    floor : Position
+    min_position : Position
         Position of the session's latest change.
     transaction : Transaction or None
         The open transaction.
@@ -120,7 +120,7 @@
     workspace: str = ''
     values: dict[str, str] = field(default_factory=dict)
     prepared: dict[str, PreparedStatement] = field(default_factory=dict)
-    floor: Position = LOG_START
+    min_position: Position = LOG_START
     transaction: Transaction | None = None
 
     def find_prepared(self, operation: Operation) -> PreparedStatement | None:
@@ -129,13 +129,13 @@
             return self.prepared.get(operation.name)
         return None
 
-    def note_change(self, answer: Answer) -> None:
+    def record_change(self, answer: Answer) -> None:
         """Record the position of a change, so that later reads include it."""
         if answer.position is not None:
-            self.floor = max(self.floor, answer.position)
+            self.min_position = max(self.min_position, answer.position)
 
     @property
-    def standing(self) -> TransactionState:
+    def transaction_state(self) -> TransactionState:
         """Transaction status of the session."""
         if self.transaction is None:
             return TransactionState.IDLE
--- a/deckdrum/serving/tests/test_leaving_servers.py
+++ b/deckdrum/serving/tests/test_leaving_servers.py
@@ -14,7 +14,7 @@
     OWN_WRITES,
     Deployment,
     LineClient,
-    play,
+    run_scenario,
 )
 
 #: Duration of the callers' requests.
@@ -51,8 +51,10 @@
         for client, text in callers:
             await asking.spawn(_repeat_request, client, text, seconds)
         await curio.sleep(DRAIN_TIME_S)
-        ran_before = len(deployment.group.ran)
-    return [ran.server for ran in deployment.group.ran[ran_before:]]
+        ran_before = len(deployment.group.executed_statements)
+    return [
+        ran.server for ran in deployment.group.executed_statements[ran_before:]
+    ]
 
 
 @pytest.mark.parametrize('nodes', [3, 9])
@@ -68,7 +70,7 @@
         late = await _list_late_servers(deployment, REQUESTS_DURATION_S)
         assert draining.name not in late
 
-    play(scenario, nodes=nodes)
+    run_scenario(scenario, nodes=nodes)
 
 
 def test_group_that_drains_entirely_gets_no_statements() -> None:
@@ -77,7 +79,7 @@
             await server.drain()
         assert not await _list_late_servers(deployment, REQUESTS_DURATION_S)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_statement_for_drained_servers_is_refused_immediately() -> None:
@@ -91,7 +93,7 @@
         assert not refused.is_done
         assert await curio.clock() - began < MAX_REFUSAL_TIME_S
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_republished_entry_does_not_extend_drain_time() -> None:
@@ -102,17 +104,17 @@
                 await server.crash()
         await draining.drain()
         await curio.sleep(1)
-        await deployment.store.drop('servers', draining.name)
+        await deployment.store.delete('servers', draining.name)
         # Longer than nodes keep a server that is no longer listed.
         await curio.sleep(5.5)
         await draining.publish()
         await curio.sleep(0.5)
         client = await deployment.connect(CURRENT)
-        ran_before = len(deployment.group.ran)
+        ran_before = len(deployment.group.executed_statements)
         await _repeat_request(client, 'WRITE a 1', 3)
-        assert len(deployment.group.ran) == ran_before
+        assert len(deployment.group.executed_statements) == ran_before
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_draining_primary_is_replaced_without_peer_consent() -> None:
@@ -122,9 +124,9 @@
         client = await deployment.connect(CURRENT)
         await client.ask('WRITE a 1')
         for running in deployment.nodes:
-            running.node.peers.answer = None
+            running.node.peers.answer_request = None
         await deployment.group.primary.drain()
         await curio.sleep(DRAIN_TIME_S)
         assert await client.write_until_done() < WRITE_GAP_P99_S
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/serving/tests/test_lending.py
+++ b/deckdrum/serving/tests/test_lending.py
@@ -20,7 +20,7 @@
     SERVICE,
     Deployment,
     Reply,
-    play,
+    run_scenario,
 )
 
 CENTRES = ('a', 'b', 'c')
@@ -120,7 +120,7 @@
         assert used > 0
 
     policies = exclude_policies([left_out])
-    play(scenario, nodes=12, max_connections=9, policies=policies)
+    run_scenario(scenario, nodes=12, max_connections=9, policies=policies)
 
 
 def test_transaction_on_borrowed_connection_is_committed() -> None:
@@ -154,7 +154,7 @@
 
     for left_out in ('hedged-reads', 'forwarding'):
         policies = exclude_policies([left_out])
-        play(scenario, nodes=12, max_connections=9, policies=policies)
+        run_scenario(scenario, nodes=12, max_connections=9, policies=policies)
 
 
 def test_node_that_gets_no_connection_borrows_one() -> None:
@@ -171,7 +171,7 @@
         assert (await second.ask('WRITE b 1')).is_done
         assert len(primary.log) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_loans_end_after_connection_limit_was_reached() -> None:
@@ -190,11 +190,11 @@
         deployment.group.max_connections = 23
         await curio.sleep(1)
         for running in deployment.nodes:
-            assert not running.node.lent
+            assert not running.node.lent_connections
             for handle in running.node.services[SERVICE].servers.values():
                 assert not handle.pool.queue.held
 
-    play(scenario, nodes=9, work=0.02)
+    run_scenario(scenario, nodes=9, work=0.02)
 
 
 def test_busy_lenders_do_not_cause_direct_connections() -> None:
@@ -213,7 +213,7 @@
 
     for left_out in ('hedged-reads', 'forwarding'):
         policies = exclude_policies([left_out])
-        play(
+        run_scenario(
             scenario,
             nodes=12,
             max_connections=9,
@@ -246,7 +246,7 @@
 
     for left_out in ('hedged-reads', 'forwarding'):
         policies = exclude_policies([left_out])
-        play(
+        run_scenario(
             scenario,
             nodes=12,
             max_connections=9,
--- a/deckdrum/serving/tests/test_lost_answers.py
+++ b/deckdrum/serving/tests/test_lost_answers.py
@@ -10,7 +10,7 @@
     Deployment,
     LineClient,
     Reply,
-    play,
+    run_scenario,
 )
 
 
@@ -50,7 +50,7 @@
         assert reply.is_done
         assert await curio.clock() - began < 0.25
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_write_with_lost_answer_times_out_early() -> None:
@@ -63,7 +63,7 @@
         assert await curio.clock() - began < 0.6
         assert len(deployment.group.primary.log) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_lost_answer_aborts_transaction_early() -> None:
@@ -79,7 +79,7 @@
         await client.ask('ROLLBACK')
         assert not deployment.group.primary.log
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_read_is_hedged_soon_after_lost_answer() -> None:
@@ -92,7 +92,7 @@
         assert (await client.ask('READ a')).is_done
         assert await curio.clock() - began < 0.2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_write_with_lost_answer_is_not_repeated() -> None:
@@ -103,7 +103,7 @@
         assert reply.text.startswith('TIMEOUT')
         assert len(deployment.group.primary.log) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_read_with_lost_answer_is_answered_by_another_server() -> None:
@@ -117,7 +117,7 @@
         assert (await client.ask('READ a')).is_done
         assert await curio.clock() - began < 0.6
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_slow_current_read_is_not_run_twice() -> None:
@@ -126,20 +126,20 @@
         assert (await client.ask('READ a')).is_done
         # Wait for a possible second run to finish.
         await curio.sleep(2)
-        assert len(deployment.group.ran) == 1
+        assert len(deployment.group.executed_statements) == 1
 
-    play(scenario, work=0.9)
+    run_scenario(scenario, work=0.9)
 
 
 def test_slow_current_reads_spend_no_retries() -> None:
     async def scenario(deployment: Deployment) -> None:
         client = await deployment.connect(CURRENT)
         node = deployment.nodes[0].node
-        execution = node.host.find_execution(SERVICE)
-        assert execution is not None
+        executor = node.host.find_executor(SERVICE)
+        assert executor is not None
         for _ in range(3):
             assert (await client.ask('READ a')).is_done
-        assert execution._budget.take()
-        assert execution._budget._tokens == RETRY_BUDGET_CAPACITY - 1
+        assert executor._budget.try_spend()
+        assert executor._budget._tokens == RETRY_BUDGET_CAPACITY - 1
 
-    play(scenario, work=1.5)
+    run_scenario(scenario, work=1.5)
--- a/deckdrum/serving/tests/test_statements.py
+++ b/deckdrum/serving/tests/test_statements.py
@@ -13,7 +13,7 @@
     ZONES,
     Deployment,
     build_config,
-    play,
+    run_scenario,
 )
 
 RED: Final = (('colour', 'red'),)
@@ -28,10 +28,10 @@
         await curio.sleep(0.1)
         found = await client.ask('READ a')
         assert found.rows == ['a-1']
-        reader = deployment.group.ran[-1].server
+        reader = deployment.group.executed_statements[-1].server
         assert reader != deployment.group.primary.name
 
-    play(scenario, lag=0)
+    run_scenario(scenario, lag=0)
 
 
 def test_own_change_is_read_at_the_primary_while_replicas_lag() -> None:
@@ -40,9 +40,12 @@
         await client.ask('WRITE a 1')
         found = await client.ask('READ a')
         assert found.rows == ['a-1']
-        assert deployment.group.ran[-1].server == deployment.group.primary.name
+        assert (
+            deployment.group.executed_statements[-1].server
+            == deployment.group.primary.name
+        )
 
-    play(scenario, lag=1.0)
+    run_scenario(scenario, lag=1.0)
 
 
 def test_current_read_sees_the_change_of_another_node() -> None:
@@ -54,7 +57,7 @@
             found = await reader.ask('READ a')
             assert found.rows == [f'a-{number}']
 
-    play(scenario, lag=0.5)
+    run_scenario(scenario, lag=0.5)
 
 
 def test_bounded_read_is_no_older_than_accepted() -> None:
@@ -69,7 +72,7 @@
         found = await reader.ask('READ a')
         assert found.rows == ['a-1']
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_bounded_reads_go_to_replicas() -> None:
@@ -78,13 +81,13 @@
         for _ in range(40):
             assert (await reader.ask('READ a')).is_done
             await curio.sleep(0.1)
-        servers = [ran.server for ran in deployment.group.ran]
+        servers = [ran.server for ran in deployment.group.executed_statements]
         replicas = [
             name for name in servers if name != deployment.group.primary.name
         ]
         assert len(replicas) >= 38
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_transaction_runs_on_one_connection_and_is_committed() -> None:
@@ -99,7 +102,7 @@
         assert committed.text != '-'
         assert len(deployment.group.primary.log) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_rolled_back_transaction_has_no_effect() -> None:
@@ -111,7 +114,7 @@
         assert rolled_back.state == 'I'
         assert not deployment.group.primary.log
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_transaction_of_disconnected_client_is_rolled_back() -> None:
@@ -125,7 +128,7 @@
         assert (await other.ask('WRITE b 1')).is_done
         assert len(deployment.group.primary.log) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_failed_transaction_can_only_be_rolled_back() -> None:
@@ -145,7 +148,7 @@
         assert committed.state == 'I'
         assert not deployment.group.primary.log
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_prepared_names_of_two_callers_do_not_clash() -> None:
@@ -161,7 +164,7 @@
         gone = await first.ask('EXECUTE s1 a x')
         assert gone.text.startswith('NOSTMT')
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_session_values_apply_to_their_session_only() -> None:
@@ -171,16 +174,16 @@
         await with_value.ask('SET colour red')
         for _ in range(3):
             await with_value.ask('READ a')
-            assert deployment.group.ran[-1].values == RED
+            assert deployment.group.executed_statements[-1].values == RED
             await without_value.ask('READ a')
-            assert not deployment.group.ran[-1].values
+            assert not deployment.group.executed_statements[-1].values
         await with_value.ask('BEGIN')
         await with_value.ask('READ a')
         await with_value.ask('SET colour blue')
         await with_value.ask('READ a')
-        assert deployment.group.ran[-1].values == BLUE
+        assert deployment.group.executed_statements[-1].values == BLUE
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_rejected_write_is_retried_until_accepted() -> None:
@@ -190,7 +193,7 @@
         assert (await client.ask('WRITE a 1')).is_done
         assert len(deployment.group.primary.log) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('word', ['BUSY', 'LAGGING', 'FAILED', 'TIMEOUT'])
@@ -203,7 +206,7 @@
                 server.rejections.append(word)
         assert (await client.ask('READ a')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_idle_transaction_is_aborted_and_reported() -> None:
@@ -217,7 +220,7 @@
         assert late.state == 'E'
         assert (await client.ask('ROLLBACK')).state == 'I'
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_removed_route_is_refused() -> None:
@@ -232,7 +235,7 @@
         await curio.sleep(0.5)
         assert (await client.ask('READ a')).text.startswith('NODB')
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_internal_commands_from_callers_are_refused() -> None:
@@ -243,10 +246,10 @@
             assert reply.text.startswith('MALFORMED')
         assert deployment.group.primary.role == 'primary'
         assert not any(
-            server.held_term for server in deployment.group.servers.values()
+            server.fenced_term for server in deployment.group.servers.values()
         )
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_one_node_samples_the_primary_for_its_data_centre() -> None:
@@ -266,7 +269,7 @@
         # One per 0.6 s and a few at the start.
         assert sampled <= 12
 
-    play(scenario, nodes=9, centres=1, settle=2.5)
+    run_scenario(scenario, nodes=9, centres=1, settle=2.5)
 
 
 def test_read_waits_for_a_sample_rather_than_load_the_primary() -> None:
@@ -276,10 +279,10 @@
         for _ in range(3):
             await client.ask('READ a')
             await curio.sleep(2.5)
-        servers = {ran.server for ran in deployment.group.ran}
+        servers = {ran.server for ran in deployment.group.executed_statements}
         assert deployment.group.primary.name not in servers
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_replicas_serve_reads_while_primary_is_overloaded() -> None:
@@ -291,7 +294,7 @@
             assert (await client.ask('READ a')).is_done
             await curio.sleep(0.1)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_answers_of_replicas_provide_proof() -> None:
@@ -307,7 +310,7 @@
         # Without it there would be one per 0.7 s.
         assert events['status_questions'] - before <= 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize('policy', list(Policy))
@@ -329,7 +332,9 @@
             assert (await client.ask('READ a')).is_done
 
     enabled_policies = ALL_POLICIES - {policy}
-    play(scenario, nodes=5, policies=enabled_policies, max_connections=11)
+    run_scenario(
+        scenario, nodes=5, policies=enabled_policies, max_connections=11
+    )
 
 
 def test_read_queues_at_local_replica() -> None:
@@ -347,7 +352,7 @@
             if server.zone == ZONES[1]
         )
         # The first reads run before response times have been estimated.
-        readers = [ran.server for ran in deployment.group.ran]
+        readers = [ran.server for ran in deployment.group.executed_statements]
         assert set(readers[4:]) == {near}
 
-    play(scenario, work=0.015)
+    run_scenario(scenario, work=0.015)
--- a/deckdrum/serving/transactions.py
+++ b/deckdrum/serving/transactions.py
@@ -96,7 +96,7 @@
         """Set a changed session value on an open transaction's connection."""
         transaction = self._state.transaction
         if transaction is None:
-            return Answer(standing=self._state.standing)
+            return Answer(transaction_state=self._state.transaction_state)
         if transaction.forwarded is not None:
             return await self._run_forwarded(
                 Request('', operation),
@@ -105,15 +105,15 @@
             )
         pin = transaction.pin
         if pin is None:
-            return Answer(standing=self._state.standing)
+            return Answer(transaction_state=self._state.transaction_state)
         link = pin.lease.link
         try:
             rejection = await prepare_link(link, self._state, operation)
         except ConnectionError as error:
             return await self.fail(repr(error))
         if rejection is not None:
-            return await self.fail(rejection.text, rejection.standing)
-        return Answer(standing=self._state.standing)
+            return await self.fail(rejection.text, rejection.transaction_state)
+        return Answer(transaction_state=self._state.transaction_state)
 
     async def _run_first(
         self,
@@ -122,7 +122,7 @@
     ) -> Outcome:
         """Open the transaction on a server with its first statement."""
         # The configuration may have changed since BEGIN was answered.
-        access = self._host.find_access(self._state)
+        access = self._host.authorize(self._state)
         if isinstance(access, Refusal):
             return await self.fail(access.text, code=access.code)
         route = access.route
@@ -139,7 +139,9 @@
         transaction.pin = begun.pin
         transaction.forwarded = begun.forwarded
         if isinstance(request.operation, Commit):
-            await self.release_connection(transaction, begun.answer.standing)
+            await self.release_connection(
+                transaction, begun.answer.transaction_state
+            )
         return begun.answer
 
     async def _run_forwarded(
@@ -153,14 +155,14 @@
         outcome = await forwarded.run(
             request,
             self._state.find_prepared(request.operation),
-            may_last=is_commit and transaction.has_written,
+            may_have_committed=is_commit and transaction.has_written,
         )
         if isinstance(outcome, Refusal) or is_commit:
             transaction.forwarded = None
         if isinstance(outcome, Refusal):
             transaction.is_failed = True
         elif is_commit and transaction.has_written:
-            self._state.note_change(outcome)
+            self._state.record_change(outcome)
         return outcome
 
     async def _run_pinned(
@@ -214,11 +216,11 @@
         transaction: Transaction,
         pin: PinnedConnection,
     ) -> Outcome:
-        await self.release_connection(transaction, answer.standing)
-        execution = self._host.find_execution(transaction.route.service)
-        if execution is None or not transaction.has_written:
+        await self.release_connection(transaction, answer.transaction_state)
+        executor = self._host.find_executor(transaction.route.service)
+        if executor is None or not transaction.has_written:
             return answer
-        return await execution.confirm_change(answer, pin.term, self._state)
+        return await executor.confirm_change(answer, pin.term, self._state)
 
     async def _fail_pinned(self, request: Request, reason: str) -> Outcome:
         """Fail the transaction after a statement that was not answered."""
@@ -244,13 +246,22 @@
         is_commit = isinstance(request.operation, Commit)
         is_not_run = rejection.cause.is_not_run
         if is_commit and transaction is not None:
-            may_last = transaction.has_written and not is_not_run
-            if may_last and rejection.standing is not TransactionState.IDLE:
-                may_last = False
-            await self.release_connection(transaction, rejection.standing)
-            code = Code.CONNECTION_LOST if may_last else Code.TRANSACTION_LOST
+            may_have_committed = transaction.has_written and not is_not_run
+            if (
+                may_have_committed
+                and rejection.transaction_state is not TransactionState.IDLE
+            ):
+                may_have_committed = False
+            await self.release_connection(
+                transaction, rejection.transaction_state
+            )
+            code = (
+                Code.CONNECTION_LOST
+                if may_have_committed
+                else Code.TRANSACTION_LOST
+            )
             return refuse(code, rejection.text)
-        return await self.fail(rejection.text, rejection.standing)
+        return await self.fail(rejection.text, rejection.transaction_state)
 
 
 def _compute_timeout(
--- a/deckdrum/sessions/tests/test_token.py
+++ b/deckdrum/sessions/tests/test_token.py
@@ -37,7 +37,7 @@
 def test_previous_key_verifies() -> None:
     token = Token({'stalls': Position(1, 5)})
     text = token.encode(KeyRing([b'old key']))
-    assert Token.decode(text, RING).floor('stalls') == Position(1, 5)
+    assert Token.decode(text, RING).min_position('stalls') == Position(1, 5)
 
 
 def test_token_size_is_bounded_and_positions_never_decrease() -> None:
@@ -48,4 +48,4 @@
     assert len(token.encode(RING)) < MAX_TOKEN_CHARACTERS
     token.advance('stalls', Position(2, 1))
     assert not token.advance('stalls', Position(1, 900))
-    assert token.floor('stalls') == Position(2, 1)
+    assert token.min_position('stalls') == Position(2, 1)
--- a/deckdrum/sessions/token.py
+++ b/deckdrum/sessions/token.py
@@ -48,7 +48,7 @@
         return _sign(self._keys[0], payload)
 
     def verify(self, payload: bytes, signature: bytes) -> bool:
-        """Tell whether `signature` was made with any key of the ring."""
+        """Return whether `signature` was made with any key of the ring."""
         return any(
             hmac.compare_digest(_sign(key, payload), signature)
             for key in self._keys
@@ -65,7 +65,7 @@
     >>> token = Token()
     >>> token.advance('stalls', Position(2, 40))
     True
-    >>> Token.decode(token.encode(ring), ring).floor('stalls')
+    >>> Token.decode(token.encode(ring), ring).min_position('stalls')
     Position(term=2, offset=40)
     >>> Token.decode(token.encode(ring), KeyRing([b'other']))
     Traceback (most recent call last):
@@ -100,7 +100,7 @@
         envelope = ring.sign(payload) + payload
         return base64.urlsafe_b64encode(envelope).decode()
 
-    def floor(self, group: str) -> Position:
+    def min_position(self, group: str) -> Position:
         """Return the minimum position for the next read of `group`."""
         return self.positions.get(group, LOG_START)
 
@@ -112,7 +112,7 @@
         bool
             Whether the token changed.
         """
-        if seen <= self.floor(group):
+        if seen <= self.min_position(group):
             return False
         self.positions.pop(group, None)
         self.positions[group] = seen
--- a/deckdrum/soak/faults.py
+++ b/deckdrum/soak/faults.py
@@ -147,7 +147,7 @@
         kind = environment.randomness.choice(
             ('unresponsive', 'crash', 'full', 'replication blocked')
         )
-        server.is_dark = kind == 'unresponsive'
+        server.is_unresponsive = kind == 'unresponsive'
         server.is_replication_blocked = kind == 'replication blocked'
         server.load.is_full = kind == 'full'
         if kind == 'crash':
--- a/deckdrum/soak/promises.py
+++ b/deckdrum/soak/promises.py
@@ -37,13 +37,13 @@
         Attempts of all callers, with their outcomes.
     log : sequence of Entry
         Log of the last primary.
-    ran : sequence of ExecutedStatement
+    executed_statements : sequence of ExecutedStatement
         Statements that the databases executed.
     """
 
     attempts: Sequence[Attempt]
     log: Sequence[Entry]
-    ran: Sequence[ExecutedStatement]
+    executed_statements: Sequence[ExecutedStatement]
 
     def count_committed_writes(self) -> Counter[str]:
         """Return the number of log entries of each write, by request id."""
@@ -103,7 +103,7 @@
     }
     return [
         f'{ran.request_id} was executed as {ran.text!r}'
-        for ran in history.ran
+        for ran in history.executed_statements
         if sent.get(ran.request_id) != ran.text
     ]
 
@@ -117,7 +117,7 @@
     }
     return [
         f'{ran.request_id} was executed with values {ran.values}'
-        for ran in history.ran
+        for ran in history.executed_statements
         if ran.values != (('colour', sessions.get(ran.request_id, '')),)
     ]
 
--- a/deckdrum/soak/runner.py
+++ b/deckdrum/soak/runner.py
@@ -55,11 +55,11 @@
 class SoakReport:
     """Result of a soak test.
 
-    `broken` lists the violated guarantees, `faults` the injected faults in the
-    order in which they ended, `outcome_counts` the attempts by their outcome.
+    `violations` lists the violated guarantees, `faults` the injected faults in
+    the order in which they ended, `outcome_counts` the attempts by their outcome.
     """
 
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
     outcome_counts: Counter[str] = field(default_factory=Counter)
 
@@ -93,7 +93,7 @@
             await self._run_phases()
         finally:
             for node in self._environment.nodes:
-                self._report.broken.extend(find_node_failures(node))
+                self._report.violations.extend(find_node_failures(node))
             await self._environment.close()
         return self._report
 
@@ -166,7 +166,7 @@
         async with curio.ignore_after(RECOVERY_TIMEOUT_S):
             while self._find_unserving_nodes(since):
                 await curio.sleep(_POLL_INTERVAL_S)
-        self._report.broken.extend(
+        self._report.violations.extend(
             f'{name} served no caller after the faults'
             for name in self._find_unserving_nodes(since)
         )
@@ -186,8 +186,10 @@
         attempts: list[Attempt] = []
         for caller in self._callers:
             attempts.extend(caller.attempts)
-        history = SoakHistory(attempts, group.primary.log, group.ran)
-        self._report.broken.extend(find_violations(history))
+        history = SoakHistory(
+            attempts, group.primary.log, group.executed_statements
+        )
+        self._report.violations.extend(find_violations(history))
         self._report.outcome_counts.update(
             attempt.outcome for attempt in attempts
         )
--- a/deckdrum/soak/world.py
+++ b/deckdrum/soak/world.py
@@ -91,7 +91,7 @@
 
     async def restore_server(self, server: DatabaseServer) -> None:
         """Clear the faults of a database and let it rejoin its group."""
-        server.is_dark = False
+        server.is_unresponsive = False
         server.is_replication_blocked = False
         server.load.is_full = False
         link = self.links[server.name]
--- a/deckdrum/standins/session.py
+++ b/deckdrum/standins/session.py
@@ -27,7 +27,7 @@
     encode_command_complete,
     encode_error,
     encode_parameter_status,
-    encode_ready,
+    encode_ready_for_query,
 )
 
 if TYPE_CHECKING:
@@ -97,7 +97,7 @@
             if is_last:
                 await self.transaction.end_implicit()
             await self._send_rows(answer, with_columns=True)
-        await self.send(encode_ready(self.transaction.status))
+        await self.send(encode_ready_for_query(self.transaction.status))
 
     async def parse(self, message: Any) -> None:
         """Prepare a statement."""
@@ -168,7 +168,7 @@
             await self.send(encode_error(error.sqlstate, str(error)))
             self.is_skipping_to_sync = frame.tag != tags.QUERY
             if frame.tag == tags.QUERY:
-                await self.send(encode_ready(self.transaction.status))
+                await self.send(encode_ready_for_query(self.transaction.status))
 
     async def _sync(self) -> None:
         self.is_skipping_to_sync = False
@@ -177,7 +177,7 @@
         except SqlError as error:
             await self.send(encode_error(error.sqlstate, str(error)))
         self.portals.clear()
-        await self.send(encode_ready(self.transaction.status))
+        await self.send(encode_ready_for_query(self.transaction.status))
 
     def _find_statement(self, name: str) -> Prepared:
         prepared = self.statements.get(name)
@@ -323,7 +323,7 @@
         encode_parameter_status('integer_datetimes', 'on'),
         encode_parameter_status('TimeZone', 'UTC'),
         codec.BackendKeyData(process_id, secrets.token_bytes(4)).to_wire(),
-        encode_ready('I'),
+        encode_ready_for_query('I'),
     ]
     return b''.join(parts)
 
--- a/deckdrum/standins/users/databases.py
+++ b/deckdrum/standins/users/databases.py
@@ -34,7 +34,7 @@
         Store that holds the server directory.
     lag : float
         Replication delay, in seconds.
-    work : float
+    statement_time : float
         Execution time of a statement, in seconds.
     promotion_time : float
         Time from the promotion call to the new term, in seconds.
@@ -45,7 +45,7 @@
         Connection limit of each database.
     servers : dict of str to DatabaseServer
         Databases by id, including stopped ones.
-    ran : list of ExecutedStatement
+    executed_statements : list of ExecutedStatement
         Executed statements of all databases, in order.
     promotions : list of tuple
         Promotion calls in order: server, holder and fencing token.
@@ -56,12 +56,12 @@
     service: str
     store: StandinStore
     lag: float = 0.02
-    work: float = 0.005
+    statement_time: float = 0.005
     promotion_time: float = 0.3
     synchronous: int = 0
     max_connections: int = 23
     servers: dict[str, DatabaseServer] = field(default_factory=dict)
-    ran: list[ExecutedStatement] = field(default_factory=list)
+    executed_statements: list[ExecutedStatement] = field(default_factory=list)
     promotions: list[tuple[str, str, int]] = field(default_factory=list)
     unanswered_promotions: int = 0
     _promotion_server: HttpServer | None = None
@@ -158,9 +158,9 @@
         server: DatabaseServer,
     ) -> None:
         await curio.sleep(self.lag)
-        can_send = primary.is_running and not primary.is_dark
+        can_send = primary.is_running and not primary.is_unresponsive
         can_receive = server.is_running and not server.is_replication_blocked
-        is_fenced = server.held_term > primary.term
+        is_fenced = server.fenced_term > primary.term
         if not can_send or not can_receive or is_fenced:
             return
         if server.role == REPLICA and server.term <= primary.term:
@@ -172,7 +172,7 @@
         server = self.servers.get(body['id'])
         holder = request.headers.get('x-deckdrum-holder', '')
         fencing_token = int(request.headers.get('x-deckdrum-fence', '0'))
-        if server is None or not server.is_running or server.is_dark:
+        if server is None or not server.is_running or server.is_unresponsive:
             return Reply.from_text('not running', _CONFLICT)
         self.promotions.append((server.name, holder, fencing_token))
         if server.role != PRIMARY:
@@ -187,7 +187,7 @@
         term = max(each.term for each in self.servers.values()) + 1
         await server.lead(term)
         for other in self.servers.values():
-            is_reachable = other.is_running and not other.is_dark
-            if other is server or not is_reachable or other.held_term:
+            is_reachable = other.is_running and not other.is_unresponsive
+            if other is server or not is_reachable or other.fenced_term:
                 continue
             await other.follow(term, server.log)
--- a/deckdrum/standins/users/servers.py
+++ b/deckdrum/standins/users/servers.py
@@ -42,19 +42,19 @@
         Name of the service.
     store : StandinStore
         Store that holds the server directory.
-    work : float
+    statement_time : float
         Execution time of a statement, in seconds.
     max_connections : int
         Connection limit of each database.
-    ran : list of ExecutedStatement
+    executed_statements : list of ExecutedStatement
         Executed statements of all databases, in order.
     """
 
     service: str
     store: StandinStore
-    work: float
+    statement_time: float
     max_connections: int
-    ran: list[ExecutedStatement]
+    executed_statements: list[ExecutedStatement]
 
     @abstractmethod
     async def commit(
@@ -116,9 +116,9 @@
         self.role = role
         self.term = 1
         self.log: list[Entry] = []
-        self.held_term = 0
+        self.fenced_term = 0
         #: Whether nothing is answered, as after a loss of power.
-        self.is_dark = False
+        self.is_unresponsive = False
         #: Whether replication from the primary is blocked.
         self.is_replication_blocked = False
         self.load = ServerLoad()
@@ -157,7 +157,7 @@
         self._listener = Listener(self._address, self._serve)
         await self._listener.start()
         self._address = self._listener.address
-        self.held_term = 0
+        self.fenced_term = 0
         await self.publish()
 
     async def crash(self) -> None:
@@ -214,7 +214,7 @@
         """Become the primary of `term`."""
         self.role = PRIMARY
         self.term = term
-        self.held_term = 0
+        self.fenced_term = 0
         await self.publish()
 
     async def follow(self, term: int, log: Iterable[Entry]) -> None:
@@ -238,7 +238,7 @@
             self._connections.discard(stream)
 
     async def _hang_if_unresponsive(self) -> None:
-        if self.is_dark:
+        if self.is_unresponsive:
             await curio.sleep(HANG_DURATION_S)
 
     async def _accept_connection(self, stream: Stream, line: str) -> bool:
@@ -261,7 +261,7 @@
         command = text.split(' ', 1)[0]
         is_timed = command in _TIMED_COMMANDS
         if is_timed:
-            await curio.sleep(self.group.work)
+            await curio.sleep(self.group.statement_time)
         if command == 'STATUS':
             await curio.sleep(self.load.status_delay)
         if self.load.is_full:
@@ -313,16 +313,18 @@
         if command == 'PAUSE' and self.role == REPLICA:
             # Ignored for a term that the replica already follows.
             is_newer_term = int(arguments) > self.term
-            self.held_term = int(arguments) if is_newer_term else self.held_term
+            self.fenced_term = (
+                int(arguments) if is_newer_term else self.fenced_term
+            )
         elif command == 'RESUME':
-            self.held_term = 0
+            self.fenced_term = 0
             await self.group.catch_up(self)
         elif command == 'DEMOTE' and int(arguments) > self.term:
             self.role = REPLICA
             await self.publish()
         count = len(self._connections)
         row = (
-            f'{self.role} {self.term} {self.log_end} {self.held_term} '
+            f'{self.role} {self.term} {self.log_end} {self.fenced_term} '
             f'0 0 {count}'
         )
         return f'ROW {row}\r\nCOMPLETE -\r\n'
@@ -395,8 +397,8 @@
             tuple(sorted(connection.values.items())),
             connection.who,
         )
-        self.group.ran.append(ran)
-        return f'COMPLETE {self.name}.{len(self.group.ran)}\r\n'
+        self.group.executed_statements.append(ran)
+        return f'COMPLETE {self.name}.{len(self.group.executed_statements)}\r\n'
 
     def _reject(self, connection: Connection, code: str) -> str:
         if connection.transaction:
--- a/deckdrum/standins/users/store.py
+++ b/deckdrum/standins/users/store.py
@@ -122,7 +122,7 @@
         await self._record_event(kind, stored, removed=False)
         return self.revision
 
-    async def drop(self, kind: str, name: str) -> None:
+    async def delete(self, kind: str, name: str) -> None:
         """Remove an object."""
         stored = self._stored.get(kind, {}).pop(name, None)
         if stored is not None:
@@ -264,7 +264,7 @@
         expected_revision = int(request.query.get('revision', '0'))
         if expected_revision not in {0, _get_revision(current)}:
             return Reply.from_json(current, _CONFLICT)
-        await self.drop(kind, name)
+        await self.delete(kind, name)
         return Reply.from_json(current)
 
 
--- a/deckdrum/standins/users/tests/test_databases.py
+++ b/deckdrum/standins/users/tests/test_databases.py
@@ -2,7 +2,7 @@
 
 import curio
 
-from deckdrum.testing.nodes import Deployment, play
+from deckdrum.testing.nodes import Deployment, run_scenario
 
 
 def test_rejoining_server_waits_until_there_is_a_primary() -> None:
@@ -21,4 +21,4 @@
         await rejoining.join()
         assert back.term == 2
 
-    play(scenario)
+    run_scenario(scenario)
--- a/deckdrum/statements/classification.py
+++ b/deckdrum/statements/classification.py
@@ -321,7 +321,7 @@
 
 
 def _pins_connection(tree: exp.Expr) -> bool:
-    """Tell whether a statement leaves state on its backend connection."""
+    """Return whether a statement leaves state on its backend connection."""
     if isinstance(tree, exp.Create):
         return tree.find(exp.TemporaryProperty) is not None
     if not isinstance(tree, exp.Command | exp.Declare | exp.Set):
--- a/deckdrum/store/view.py
+++ b/deckdrum/store/view.py
@@ -94,9 +94,9 @@
                 continue
             pause = _INITIAL_BACKOFF_S
             self._set_reachable(True)
-            await self.adopt(changes)
+            await self.apply(changes)
 
-    async def adopt(self, changes: Changes) -> None:
+    async def apply(self, changes: Changes) -> None:
         """Apply changes, except outdated records and configurations."""
         self._revision = changes.revision
         for entry in changes.entries:
@@ -106,7 +106,7 @@
         async with self.changed:
             await self.changed.notify_all()
 
-    async def adopt_configuration(self, record: ConfigurationRecord) -> bool:
+    async def apply_configuration(self, record: ConfigurationRecord) -> bool:
         """Activate a configuration if it is newer; return whether it was.
 
         A document with any error is rejected as a whole.
@@ -134,7 +134,7 @@
             await self.changed.notify_all()
         return True
 
-    def adopt_record(self, versioned: VersionedRecord) -> bool:
+    def apply_record(self, versioned: VersionedRecord) -> bool:
         """Apply a group's record if its version is newer.
 
         Returns whether it was.
@@ -170,7 +170,7 @@
             return await self._verify_write(record)
         if not isinstance(outcome, Stored):
             return await self._verify_write(record)
-        self.adopt_record(VersionedRecord(outcome.version, record))
+        self.apply_record(VersionedRecord(outcome.version, record))
         return True
 
     async def _verify_write(self, record: GroupRecord) -> bool:
@@ -184,12 +184,12 @@
     async def _apply_object(self, entry: StoredObject) -> None:
         try:
             if entry.path == CONFIGURATION_PATH:
-                await self.adopt_configuration(
+                await self.apply_configuration(
                     ConfigurationRecord.decode(entry.body),
                 )
             elif entry.path.startswith(RECORDS_PREFIX):
                 record = GroupRecord.decode(entry.body)
-                self.adopt_record(VersionedRecord(entry.version, record))
+                self.apply_record(VersionedRecord(entry.version, record))
         except ValidationError as error:
             self._journal.record(
                 'platform.bad_object',
--- a/deckdrum/testing/limits.py
+++ b/deckdrum/testing/limits.py
@@ -51,7 +51,7 @@
         self,
         address: Address,
         question: Message,
-        limit: float = 1,
+        timeout: float = 1,
     ) -> PeerAnswer:
         """Ask a node of the fleet, or wait in vain for one that is cut off."""
         other = address.port
@@ -59,7 +59,7 @@
         if other in self._fleet.dead:
             return ConnectionRefusedError('no process')
         if self._fleet.are_partitioned(self._node, other):
-            await curio.sleep(limit)
+            await curio.sleep(timeout)
             return None
         if isinstance(question, Heartbeat):
             return question
@@ -146,7 +146,7 @@
         await self.register_members(node)
 
     def are_partitioned(self, one: int, other: int) -> bool:
-        """Tell whether two nodes do not reach each other."""
+        """Return whether two nodes do not reach each other."""
         return any((one in part) != (other in part) for part in self.parts)
 
     async def send(self, number: int) -> Refusal | None:
--- a/deckdrum/testing/nodes.py
+++ b/deckdrum/testing/nodes.py
@@ -157,10 +157,10 @@
                     reply.end = word
                     reply.text = rest
 
-    async def write_until_done(self, limit: float = WRITE_TIMEOUT_S) -> float:
+    async def write_until_done(self, timeout: float = WRITE_TIMEOUT_S) -> float:
         """Write until it succeeds; return how long that took in seconds."""
         began: float = await curio.clock()
-        async with curio.timeout_after(limit):
+        async with curio.timeout_after(timeout):
             while not (await self.ask('WRITE a 1')).is_done:
                 await curio.sleep(_WRITE_PAUSE)
         ended: float = await curio.clock()
@@ -332,11 +332,11 @@
     async def wait_for(
         self,
         check: Callable[[], bool],
-        limit: float = _START_LIMIT,
+        timeout: float = _START_LIMIT,
     ) -> float:
         """Wait until a check holds; return the time it took in seconds."""
         began: float = await curio.clock()
-        async with curio.timeout_after(limit):
+        async with curio.timeout_after(timeout):
             while not check():
                 await curio.sleep(_POLL)
         ended: float = await curio.clock()
@@ -346,16 +346,16 @@
         self,
         number: int,
         address: Address,
-        limit: float,
+        timeout: float,
     ) -> Stream:
         """Connect to a database, or wait in vain where the link is cut."""
         servers = [
             self.group.servers[name] for name in self._cuts.get(number, ())
         ]
         if any(server.address == address for server in servers):
-            await curio.sleep(limit)
+            await curio.sleep(timeout)
             raise ConnectionAbortedError(f'node {number} is cut off')
-        return await dial(address, limit)
+        return await dial(address, timeout)
 
     def _is_ready(self) -> bool:
         return all(
@@ -378,7 +378,7 @@
     return Address(_HOST, next(_PORTS))
 
 
-def play(
+def run_scenario(
     scenario: Callable[[Deployment], Awaitable[Any]],
     nodes: int = 3,
     **group: Any,
--- a/deckdrum/testing/pools.py
+++ b/deckdrum/testing/pools.py
@@ -38,14 +38,14 @@
         """Workspaces of the open connections, in the order of their opening."""
         return [link.workspace for link in self.links if link.is_open]
 
-    async def connect(self, limit: float) -> StubLink:
+    async def connect(self, timeout: float) -> StubLink:
         """Open a connection of nobody's."""
-        return await self.connect_for('', limit)
+        return await self.connect_for('', timeout)
 
     async def connect_for(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         workspace: str | None = None,
     ) -> StubLink:
         """Open a connection of a workspace."""
@@ -54,10 +54,10 @@
         return link
 
 
-CountedPool = Pool[StubServer, StubLink]
-CountedLease = Lease[StubServer, StubLink]
+StubPool = Pool[StubServer, StubLink]
+StubLease = Lease[StubServer, StubLink]
 
 
-def build_pool(slots: int) -> CountedPool:
+def build_pool(slots: int) -> StubPool:
     """Return a pool of a few connections to a server of its own."""
     return Pool(StubServer(), slots, {})
--- a/deckdrum/utils/http.py
+++ b/deckdrum/utils/http.py
@@ -73,14 +73,14 @@
         self._connect_limit = connect_limit
         self._idle: list[tuple[Stream, h11.Connection]] = []
 
-    async def call(self, request: Request, limit: float) -> Reply:
+    async def call(self, request: Request, timeout: float) -> Reply:
         """Send a request and return its reply.
 
         Parameters
         ----------
         request : Request
             The request; its query must already be part of `path`.
-        limit : float
+        timeout : float
             Longest wait for the reply, in seconds.
 
         Raises
@@ -91,7 +91,7 @@
         """
         stream, codec = await self._take()
         try:
-            async with curio.timeout_after(limit):
+            async with curio.timeout_after(timeout):
                 reply = await self._exchange(stream, codec, request)
         except (curio.TaskTimeout, h11.ProtocolError) as error:
             # A reset drops what is on its way: it must not take effect late.
@@ -114,7 +114,7 @@
     async def _take(self) -> tuple[Stream, h11.Connection]:
         while self._idle:
             stream, codec = self._idle.pop()
-            if stream.is_quiet():
+            if stream.is_idle():
                 return stream, codec
             await stream.close()
         stream = await dial(self.address, self._connect_limit)
--- a/deckdrum/utils/journal.py
+++ b/deckdrum/utils/journal.py
@@ -59,7 +59,7 @@
         self._told_at = read_clock()
 
     def take(self, event: str) -> bool:
-        """Tell whether a line of `event` may be written now."""
+        """Return whether a line of `event` may be written now."""
         now = self._read_clock()
         if now - self._second >= 1:
             self._second = now
--- a/deckdrum/utils/streams.py
+++ b/deckdrum/utils/streams.py
@@ -59,8 +59,8 @@
     """A two-way sequence of bytes."""
 
     @abstractmethod
-    def is_quiet(self) -> bool:
-        """Tell whether the stream is open and has nothing to receive."""
+    def is_idle(self) -> bool:
+        """Return whether the stream is open and has nothing to receive."""
 
     @abstractmethod
     async def receive(self) -> bytes:
@@ -99,8 +99,8 @@
         self._raw = raw
         self.closed = False
 
-    def is_quiet(self) -> bool:
-        """Tell whether the stream is open and has nothing to receive."""
+    def is_idle(self) -> bool:
+        """Return whether the stream is open and has nothing to receive."""
         if self.closed:
             return False
         try:
@@ -186,14 +186,14 @@
             await curio.sleep(0)
 
 
-async def dial(address: Address, limit: float) -> Stream:
+async def dial(address: Address, timeout: float) -> Stream:
     """Open a connection.
 
     Parameters
     ----------
     address : Address
         Where to connect.
-    limit : float
+    timeout : float
         Longest wait in seconds.
 
     Returns
@@ -212,7 +212,7 @@
     _set_socket_options(raw)
     sock = curio.io.Socket(raw)
     try:
-        async with curio.timeout_after(limit):
+        async with curio.timeout_after(timeout):
             await sock.connect((address.host, address.port))
     except ConnectionRefusedError:
         # Certain: nobody listens there now.
--- a/deckdrum/utils/tests/test_streams.py
+++ b/deckdrum/utils/tests/test_streams.py
@@ -110,10 +110,10 @@
         stream = accepted[0]
         waiting = await curio.spawn(_wait_for_bytes, stream)
         await curio.sleep(0.01)
-        assert stream.is_quiet()
+        assert stream.is_idle()
         # The peer's bytes arrive before the task that waits has run.
         peer._raw.send(b'QUERY 1 READ a\r\n')
-        assert not stream.is_quiet()
+        assert not stream.is_idle()
         await stream.close()
         found: bytes = await waiting.join()
         await peer.close()
--- a/deckdrum/wire/__init__.py
+++ b/deckdrum/wire/__init__.py
@@ -5,7 +5,7 @@
     decode_frontend,
     encode_error,
     encode_parameter_status,
-    encode_ready,
+    encode_ready_for_query,
 )
 
 __all__ = [
@@ -15,5 +15,5 @@
     'decode_frontend',
     'encode_error',
     'encode_parameter_status',
-    'encode_ready',
+    'encode_ready_for_query',
 ]
--- a/deckdrum/wire/frames.py
+++ b/deckdrum/wire/frames.py
@@ -113,7 +113,7 @@
             If the message is malformed, too large or truncated.
         """
         while True:
-            frame = self.take_frame()
+            frame = self.pop_frame()
             if frame is not None:
                 return frame
             chunk = await self._stream.receive()
@@ -123,7 +123,7 @@
                 return None
             self._buffer.extend(chunk)
 
-    def take_frame(self) -> Frame | None:
+    def pop_frame(self) -> Frame | None:
         """Return the next message if it is completely buffered, else None."""
         if self.buffered_bytes < _HEADER_BYTES:
             return None
--- a/deckdrum/wire/messages.py
+++ b/deckdrum/wire/messages.py
@@ -20,7 +20,7 @@
     'decode_startup',
     'encode_error',
     'encode_parameter_status',
-    'encode_ready',
+    'encode_ready_for_query',
 ]
 
 #: Errors that the codec raises for a malformed body.
@@ -104,12 +104,12 @@
     return codec.ParameterStatus(name=name, value=text).to_wire()
 
 
-def encode_ready(status: str) -> bytes:
+def encode_ready_for_query(status: str) -> bytes:
     r"""Return a ReadyForQuery with status ``I``, ``T`` or ``E``.
 
     Examples
     --------
-    >>> encode_ready('I')
+    >>> encode_ready_for_query('I')
     b'Z\x00\x00\x00\x05I'
     """
     return codec.ReadyForQuery(status=TransactionStatus(status)).to_wire()
--- a/deckdrum/workspaces/tests/test_keys.py
+++ b/deckdrum/workspaces/tests/test_keys.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from deckdrum.fleet.node_messages import AskNews
+from deckdrum.fleet.node_messages import FetchUpdates
 from deckdrum.platform.configuration import decode_configuration
 from deckdrum.standins.users.store import StoreFault
 from deckdrum.testing.nodes import (
@@ -18,7 +18,7 @@
     build_config,
     build_route,
     build_workspace,
-    play,
+    run_scenario,
 )
 from deckdrum.utils.virtualtime import run_virtual
 
@@ -34,7 +34,7 @@
 
 def _list_workspaces(deployment: Deployment) -> set[str]:
     """Return the workspaces for which servers have executed statements."""
-    return {executed.who for executed in deployment.group.ran}
+    return {executed.who for executed in deployment.group.executed_statements}
 
 
 async def _is_refused(client: LineClient, text: str = 'READ a') -> bool:
@@ -69,11 +69,11 @@
             client = await deployment.connect(database, number, OTHER_KEY)
             assert (await client.ask('WRITE a 1')).is_done
             await client.close()
-        for executed in deployment.group.ran:
+        for executed in deployment.group.executed_statements:
             is_read = executed.text.startswith('READ')
             assert executed.who == EXPECTED_WORKSPACES[is_read]
 
-    play(scenario, nodes=nodes, max_connections=limit, settle=2.5)
+    run_scenario(scenario, nodes=nodes, max_connections=limit, settle=2.5)
 
 
 def test_unknown_key_is_refused_except_on_a_public_route() -> None:
@@ -90,7 +90,7 @@
         assert (await client.ask('READ a')).is_done
         assert 'growers' not in _list_workspaces(deployment)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_no_key_is_required_without_workspaces() -> None:
@@ -98,7 +98,7 @@
         client = await deployment.connect(CURRENT, key='guessed')
         assert (await client.ask('READ a')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_every_key_is_refused_with_an_empty_list_of_workspaces() -> None:
@@ -107,7 +107,7 @@
         client = await deployment.connect(CURRENT, key=KEY)
         assert client.greeting.text.startswith('NOAUTH')
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_revoked_key_is_refused_at_the_next_transaction_of_a_session() -> None:
@@ -121,18 +121,18 @@
         assert (await active.ask('BEGIN')).is_done
         assert (await active.ask('READ a')).is_done
         await deployment.configure(3, tenants=[build_workspace('growers')])
-        executed = len(deployment.group.ran)
+        executed = len(deployment.group.executed_statements)
         assert await _is_refused(client)
         assert await _is_refused(client, 'BEGIN')
         # The transaction has not sent anything to a server yet.
         assert await _is_refused(idle)
-        assert len(deployment.group.ran) == executed
+        assert len(deployment.group.executed_statements) == executed
         # A transaction in progress may be completed.
         assert (await active.ask('WRITE a 1')).is_done
         assert (await active.ask('COMMIT')).is_done
         assert await _is_refused(active)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_reassigned_key_acts_for_its_new_workspace() -> None:
@@ -145,12 +145,14 @@
             3, tenants=[build_workspace('growers'), reassigned]
         )
         assert (await client.ask('READ b')).is_done
-        assert [executed.who for executed in deployment.group.ran] == [
+        assert [
+            executed.who for executed in deployment.group.executed_statements
+        ] == [
             'growers',
             'shoppers',
         ]
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_key_is_revoked_while_the_store_refuses_some_nodes() -> None:
@@ -166,7 +168,7 @@
         await curio.sleep(2.5)
         assert await _is_refused(client)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_last_of_many_rapid_configurations_is_active() -> None:
@@ -183,7 +185,7 @@
         await deployment.configure(30, tenants=[GROWERS])
         assert (await client.ask('READ a')).is_done
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_holder_refuses_a_key_revoked_in_its_own_configuration() -> None:
@@ -192,11 +194,11 @@
         caller = next(
             number
             for number, running in enumerate(deployment.nodes)
-            if not running.node.services['stalls'].holding.is_holder
+            if not running.node.services['stalls'].allocator.is_holder
         )
         client = await deployment.connect(CURRENT, caller, KEY)
         assert (await client.ask('READ a')).is_done
-        executed = len(deployment.group.ran)
+        executed = len(deployment.group.executed_statements)
         newest = decode_configuration(
             _encode(build_config(3, tenants=[SHOPPERS])),
         )
@@ -206,9 +208,9 @@
         # The forwarding node still has the old configuration.
         assert deployment.nodes[caller].node.view.version == 2
         assert await _is_refused(client)
-        assert len(deployment.group.ran) == executed
+        assert len(deployment.group.executed_statements) == executed
 
-    play(
+    run_scenario(
         scenario, nodes=MANY_NODES, max_connections=FEW_CONNECTIONS, settle=2.5
     )
 
@@ -219,7 +221,7 @@
         caller = next(
             number
             for number, running in enumerate(deployment.nodes)
-            if not running.node.services['stalls'].holding.is_holder
+            if not running.node.services['stalls'].allocator.is_holder
         )
         newest = decode_configuration(
             _encode(build_config(3, tenants=[GROWERS, SHOPPERS])),
@@ -228,9 +230,9 @@
         client = await deployment.connect(CURRENT, caller, KEY)
         reply = await client.ask('WRITE a 1')
         assert reply.text.startswith('BUSY')
-        assert not deployment.group.ran
+        assert not deployment.group.executed_statements
 
-    play(
+    run_scenario(
         scenario, nodes=MANY_NODES, max_connections=FEW_CONNECTIONS, settle=2.5
     )
 
@@ -248,11 +250,11 @@
             for running in deployment.nodes:
                 node = running.node
                 exposed += node.counters.render().decode()
-                exposed += str(node.peers.collect_updates(AskNews(0, {})))
+                exposed += str(node.peers.collect_updates(FetchUpdates(0, {})))
                 configuration = node.view.configuration
                 assert configuration is not None
                 exposed += configuration.encoded.decode()
-            exposed += str(deployment.group.ran)
+            exposed += str(deployment.group.executed_statements)
             assert 'growers' in exposed
             for key in (KEY, OTHER_KEY, 'guessed'):
                 assert key not in exposed
