--- a/deckdrum/backends/base.py
+++ b/deckdrum/backends/base.py
@@ -197,7 +197,7 @@
 
     @abstractmethod
     async def reset(self) -> bool:
-        """Discard session values and prepared statements; tell whether done."""
+        """Discard session values and prepared statements; return whether done."""
 
 
 class Backend(Connectable[BackendLink], ABC):
--- a/deckdrum/commands/proxy.py
+++ b/deckdrum/commands/proxy.py
@@ -26,7 +26,7 @@
 
 
 async def run_until_signal(settings: ProxySettings) -> bool:
-    """Run a proxy; tell whether it drained in time."""
+    """Run a proxy; return whether it drained in time."""
     store = HttpObjectStore(Address.parse(settings.platform))
     proxy = Proxy(settings, store, open_journal(settings.name))
     with catch_signals() as signals:
--- a/deckdrum/fleet/following.py
+++ b/deckdrum/fleet/following.py
@@ -89,7 +89,7 @@
                 self._skipped_until[feeder.name] = now + FEEDER_BACKOFF_S
 
     async def _follow(self, feeder: Member) -> bool:
-        """Fetch updates from a peer; tell whether to keep following it.
+        """Fetch updates from a peer; return whether to keep following it.
 
         A feeder that gets no answers from the store is kept if the store does
         not answer this node either.  Otherwise all nodes would start watches of
--- a/deckdrum/fleet/health.py
+++ b/deckdrum/fleet/health.py
@@ -71,7 +71,7 @@
                 await curio.spawn(self.check, peer, daemon=True)
 
     def is_unresponsive(self, name: str) -> bool:
-        """Return whether a node is silent since a request to it failed."""
+        """Return whether a node has not answered since a request failed."""
         return name in self._unresponsive
 
     def has_refused_connection(self, name: str) -> bool:
--- a/deckdrum/leadership/tests/test_changes.py
+++ b/deckdrum/leadership/tests/test_changes.py
@@ -119,8 +119,10 @@
         deployment.group.unanswered_promotions = 1
         await deployment.group.primary.crash()
         assert await client.write_until_done() < MAX_WRITE_GAP_S + 1
-        fences = [fence for _, _, fence in deployment.group.promotions]
-        assert fences == sorted(fences)
+        fencing_tokens = [
+            fencing_token for _, _, fencing_token in deployment.group.promotions
+        ]
+        assert fencing_tokens == sorted(fencing_tokens)
 
     run_scenario(scenario)
 
--- a/deckdrum/node/services.py
+++ b/deckdrum/node/services.py
@@ -148,8 +148,8 @@
             self._counters,
             self._tools.policies,
         )
-        supervisor = PrimaryMonitor(runtime, self._tools)
-        runtime.on_server_failure = supervisor.handle_server_failure
+        monitor = PrimaryMonitor(runtime, self._tools)
+        runtime.on_server_failure = monitor.handle_server_failure
         router = Router(runtime, own.data_centre)
         executor = StatementExecutor(runtime, router)
         self.services[declaration.name] = runtime
@@ -163,7 +163,7 @@
             await curio.spawn(
                 keep_running,
                 self._journal,
-                supervisor.run,
+                monitor.run,
                 daemon=True,
             ),
         )
--- a/deckdrum/platform/backends.py
+++ b/deckdrum/platform/backends.py
@@ -87,7 +87,7 @@
         return await self._query_status(f'DEMOTE {term}')
 
     async def reset(self) -> bool:
-        """Discard session values and prepared statements; tell whether done."""
+        """Discard session values and prepared statements; return whether done."""
         reply = await self._query(PROXY_REQUEST_ID, 'RESET')
         if isinstance(reply, Rejection):
             return False
--- a/deckdrum/platform/store.py
+++ b/deckdrum/platform/store.py
@@ -146,7 +146,7 @@
         return Stored(stored.meta.revision)
 
     async def remove(self, kind: Kind, name: str, revision: int) -> bool:
-        """Remove a record if its revision is `revision`; tell whether done."""
+        """Remove a record if its revision is `revision`; return whether done."""
         query = urlencode({'revision': revision})
         path = f'{_build_path(kind, name)}?{query}'
         reply = await self._call('remove', kind, Request('DELETE', path))
--- a/deckdrum/serving/state.py
+++ b/deckdrum/serving/state.py
@@ -50,7 +50,8 @@
         """Run a statement of the transaction.
 
         A refusal ends the transaction.  `may_have_committed` says that the
-        statement may commit changes, so its outcome is unknown if no answer arrives.
+        statement may commit changes, so its outcome is unknown if no answer
+        arrives.
         """
 
     @abstractmethod
--- a/deckdrum/soak/runner.py
+++ b/deckdrum/soak/runner.py
@@ -56,7 +56,8 @@
     """Result of a soak test.
 
     `violations` lists the violated guarantees, `faults` the injected faults in
-    the order in which they ended, `outcome_counts` the attempts by their outcome.
+    the order in which they ended, `outcome_counts` the attempts by their
+    outcome.
     """
 
     violations: list[str] = field(default_factory=list)
--- a/deckdrum/testing/nodes.py
+++ b/deckdrum/testing/nodes.py
@@ -47,7 +47,7 @@
 #: Longest time of a caller that writes until it succeeds, in seconds.
 WRITE_TIMEOUT_S: Final = 8.0
 _WRITE_PAUSE: Final = 0.05
-_START_LIMIT: Final = 5.0
+_START_TIMEOUT_S: Final = 5.0
 _REPLY_TIMEOUT_S: Final = 6.0
 
 
@@ -332,7 +332,7 @@
     async def wait_for(
         self,
         check: Callable[[], bool],
-        timeout: float = _START_LIMIT,
+        timeout: float = _START_TIMEOUT_S,
     ) -> float:
         """Wait until a check holds; return the time it took in seconds."""
         began: float = await curio.clock()
--- a/deckdrum/testing/threads.py
+++ b/deckdrum/testing/threads.py
@@ -9,7 +9,7 @@
 
 from deckdrum.bench.deployment import Deployment, Layout
 
-_START_LIMIT = 30
+_START_TIMEOUT_S = 30
 
 
 class DeploymentThread:
@@ -31,7 +31,7 @@
     def start(self) -> None:
         """Start, and wait until callers can be served."""
         self._thread.start()
-        if not self._ready.wait(_START_LIMIT):
+        if not self._ready.wait(_START_TIMEOUT_S):
             raise RuntimeError('the deployment did not start')
 
     def stop(self) -> None:
--- a/deckdrum/utils/http.py
+++ b/deckdrum/utils/http.py
@@ -64,13 +64,13 @@
     ----------
     address : Address
         The server.
-    connect_limit : float
+    connect_timeout : float
         Longest wait for a connection, in seconds.
     """
 
-    def __init__(self, address: Address, connect_limit: float = 1.0) -> None:
+    def __init__(self, address: Address, connect_timeout: float = 1.0) -> None:
         self.address = address
-        self._connect_limit = connect_limit
+        self._connect_timeout = connect_timeout
         self._idle: list[tuple[Stream, h11.Connection]] = []
 
     async def call(self, request: Request, timeout: float) -> Reply:
@@ -117,7 +117,7 @@
             if stream.is_idle():
                 return stream, codec
             await stream.close()
-        stream = await dial(self.address, self._connect_limit)
+        stream = await dial(self.address, self._connect_timeout)
         return stream, h11.Connection(h11.CLIENT)
 
     async def _put(self, stream: Stream, codec: h11.Connection) -> None:
