--- a/deckdrum/bench/experiments/shares.py
+++ b/deckdrum/bench/experiments/shares.py
@@ -150,12 +150,12 @@
     async def acquire(
         self,
         group: str,
-        limit: float,
+        timeout: float,
         patience: float = math.inf,
         owner: str = '',
     ) -> Permit | Refusal:
         """Wait behind all earlier requests, of any group."""
-        return await super().acquire('everybody', limit)
+        return await super().acquire('everybody', timeout)
 
 
 def _install_fifo_queues(deployment: Deployment) -> None:
--- a/deckdrum/invariants/tests/test_invariants.py
+++ b/deckdrum/invariants/tests/test_invariants.py
@@ -40,19 +40,19 @@
 
 def ignore_min_positions(patch: pytest.MonkeyPatch) -> None:
     """Disable: reads return at least what the session has seen."""
-    patch.setattr(Token, 'floor', lambda token, group: LOG_START)
+    patch.setattr(Token, 'min_position', lambda token, group: LOG_START)
 
 
 def release_inside_transactions(patch: pytest.MonkeyPatch) -> None:
     """Disable: a connection is kept until the end of a transaction."""
-    release_connection = KeeperSession._let_go
+    release_connection = KeeperSession._release_if_idle
 
     async def release(session: Any, end: RelayResult) -> None:
         await release_connection(
             session, RelayResult('I', end.held, end.rejected)
         )
 
-    patch.setattr(KeeperSession, '_let_go', release)
+    patch.setattr(KeeperSession, '_release_if_idle', release)
 
 
 def reuse_unclean_connections(patch: pytest.MonkeyPatch) -> None:
@@ -89,7 +89,7 @@
 
 def retry_changes(patch: pytest.MonkeyPatch) -> None:
     """Disable: a write is not retried after its connection was lost."""
-    attempt = KeeperSession._attempt
+    attempt = KeeperSession._execute
 
     async def attempt_again(session: Any, request: Any) -> Any:
         refuse = session._refuse
@@ -108,14 +108,14 @@
             session._refuse = refuse
         return retried[0] if retried else next_request
 
-    patch.setattr(KeeperSession, '_attempt', attempt_again)
+    patch.setattr(KeeperSession, '_execute', attempt_again)
 
 
 def read_from_leaving(patch: pytest.MonkeyPatch) -> None:
     """Disable: a leaving database receives no reads."""
     patch.setattr(
         Router,
-        '_may_read',
+        '_can_serve_reads',
         lambda router, name, state: state.role == 'replica',
     )
 
@@ -125,7 +125,7 @@
 
     async def close_at_once(proxy: Proxy) -> bool:
         proxy.membership.is_leaving = True
-        await proxy._callers.close()
+        await proxy._caller_listener.close()
         return True
 
     patch.setattr(Proxy, 'drain', close_at_once)
@@ -140,7 +140,7 @@
     import sys
 
     caller = sys._getframe(1).f_code.co_name
-    if caller == 'adopt_configuration':
+    if caller == 'apply_configuration':
         return 0
     return view.configuration.number if view.configuration else 0
 
--- a/deckdrum/leadership/__init__.py
+++ b/deckdrum/leadership/__init__.py
@@ -1,6 +1,6 @@
 """Leadership of database groups: current primary, proof of it, and failover."""
 
-from deckdrum.leadership.promotion_client import (
+from deckdrum.leadership.duty import (
     PromotionClient,
     PromotionOutcome,
 )
--- a/deckdrum/testing/limits.py
+++ b/deckdrum/testing/limits.py
@@ -51,7 +51,7 @@
         self,
         address: Address,
         question: Message,
-        limit: float = 1,
+        timeout: float = 1,
     ) -> PeerAnswer:
         """Call a node of the fleet; time out if it is unreachable."""
         other = address.port
@@ -59,7 +59,7 @@
         if other in self._fleet.dead:
             return ConnectionRefusedError('no process')
         if self._fleet.are_partitioned(self._node, other):
-            await curio.sleep(limit)
+            await curio.sleep(timeout)
             return None
         if isinstance(question, Heartbeat):
             return question
--- a/deckdrum/testing/nodes.py
+++ b/deckdrum/testing/nodes.py
@@ -329,11 +329,11 @@
     async def wait_for(
         self,
         check: Callable[[], bool],
-        limit: float = _CONDITION_TIMEOUT_S,
+        timeout: float = _CONDITION_TIMEOUT_S,
     ) -> float:
         """Wait until `check` returns true; return the elapsed seconds."""
         start: float = await curio.clock()
-        async with curio.timeout_after(limit):
+        async with curio.timeout_after(timeout):
             while not check():
                 await curio.sleep(_POLL_INTERVAL_S)
         end: float = await curio.clock()
@@ -378,7 +378,7 @@
     return Address(_HOST, next(_PORTS))
 
 
-def play(
+def run_scenario(
     scenario: Callable[[Deployment], Awaitable[Any]],
     nodes: int = 3,
     **group: Any,
--- a/deckdrum/utils/http.py
+++ b/deckdrum/utils/http.py
@@ -115,7 +115,7 @@
     async def _acquire(self) -> tuple[Stream, h11.Connection]:
         while self._idle:
             stream, codec = self._idle.pop()
-            if stream.is_quiet():
+            if stream.is_idle():
                 return stream, codec
             await stream.close()
         stream = await dial(self.address, self._connect_timeout)
--- a/deckdrum/utils/streams.py
+++ b/deckdrum/utils/streams.py
@@ -59,7 +59,7 @@
     """A bidirectional byte stream."""
 
     @abstractmethod
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether the stream is open and has no data to receive."""
 
     @abstractmethod
@@ -99,7 +99,7 @@
         self._raw = raw
         self.closed = False
 
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether the stream is open and has no data to receive."""
         if self.closed:
             return False
--- a/deckdrum/utils/tests/test_streams.py
+++ b/deckdrum/utils/tests/test_streams.py
@@ -110,10 +110,10 @@
         stream = accepted[0]
         receiver = await curio.spawn(_receive, stream)
         await curio.sleep(0.01)
-        assert stream.is_quiet()
+        assert stream.is_idle()
         # The data arrives before the receiver task has run.
         peer._raw.send(b'QUERY 1 READ a\r\n')
-        assert not stream.is_quiet()
+        assert not stream.is_idle()
         await stream.close()
         received: bytes = await receiver.join()
         await peer.close()
