--- a/deckdrum/leadership/tests/test_belief.py
+++ b/deckdrum/leadership/tests/test_belief.py
@@ -77,7 +77,7 @@
 
 def test_fenced_replica_gives_no_proof() -> None:
     async def scenario(state: LeadershipState) -> None:
-        await state.record_status('b', build_status(held_term=2), 10.0)
+        await state.record_status('b', build_status(fenced_term=2), 10.0)
         assert not state.is_primary_usable(10.0)
 
     run(scenario)
@@ -86,7 +86,7 @@
 def test_fencing_a_replica_withdraws_its_proof() -> None:
     async def scenario(state: LeadershipState) -> None:
         await state.record_status('b', build_status(), 10.0)
-        await state.record_status('b', build_status(held_term=2), 10.1)
+        await state.record_status('b', build_status(fenced_term=2), 10.1)
         assert not state.is_primary_usable(10.1)
 
     run(scenario)
--- a/deckdrum/leadership/tests/test_troubles.py
+++ b/deckdrum/leadership/tests/test_troubles.py
@@ -46,7 +46,7 @@
         assert not deployment.group.promotions
         assert _count(deployment, 'detours_taken') == 0
 
-    run_scenario(scenario, work=0.02)
+    run_scenario(scenario, statement_time=0.02)
 
 
 def _count(deployment: Deployment, event: str) -> int:
--- a/deckdrum/node/tests/test_lifecycle.py
+++ b/deckdrum/node/tests/test_lifecycle.py
@@ -119,7 +119,7 @@
         assert not unanswered
         await running.store.close()
 
-    run_scenario(scenario, work=0.3)
+    run_scenario(scenario, statement_time=0.3)
 
 
 async def _call_until_refused(
@@ -204,7 +204,7 @@
         await client.read_reply()
         return [json.loads(line) for line in lines.getvalue().splitlines()]
 
-    entries = run_scenario(scenario, work=0.3)
+    entries = run_scenario(scenario, statement_time=0.3)
     entries = [
         entry
         for entry in entries
--- a/deckdrum/serving/tests/test_lending.py
+++ b/deckdrum/serving/tests/test_lending.py
@@ -194,7 +194,7 @@
             for handle in running.node.services[SERVICE].servers.values():
                 assert not handle.pool.queue.held
 
-    run_scenario(scenario, nodes=9, work=0.02)
+    run_scenario(scenario, nodes=9, statement_time=0.02)
 
 
 def test_busy_lenders_do_not_cause_direct_connections() -> None:
@@ -217,7 +217,7 @@
             scenario,
             nodes=12,
             max_connections=9,
-            work=0.05,
+            statement_time=0.05,
             policies=policies,
         )
 
--- a/deckdrum/serving/tests/test_lost_answers.py
+++ b/deckdrum/serving/tests/test_lost_answers.py
@@ -128,7 +128,7 @@
         await curio.sleep(2)
         assert len(deployment.group.executed_statements) == 1
 
-    run_scenario(scenario, work=0.9)
+    run_scenario(scenario, statement_time=0.9)
 
 
 def test_slow_current_reads_spend_no_retries() -> None:
@@ -142,4 +142,4 @@
         assert executor._budget.try_spend()
         assert executor._budget._tokens == RETRY_BUDGET_CAPACITY - 1
 
-    run_scenario(scenario, work=1.5)
+    run_scenario(scenario, statement_time=1.5)
--- a/deckdrum/serving/tests/test_statements.py
+++ b/deckdrum/serving/tests/test_statements.py
@@ -355,4 +355,4 @@
         readers = [ran.server for ran in deployment.group.executed_statements]
         assert set(readers[4:]) == {near}
 
-    run_scenario(scenario, work=0.015)
+    run_scenario(scenario, statement_time=0.015)
--- a/deckdrum/soak/tests/test_soak.py
+++ b/deckdrum/soak/tests/test_soak.py
@@ -18,6 +18,6 @@
 @pytest.mark.parametrize('plan', PLANS)
 def test_guarantees_hold_under_faults(plan: SoakPlan, tmp_path: Path) -> None:
     report = curio.run(run_soak, plan, tmp_path)
-    assert not report.broken
+    assert not report.violations
     assert report.faults
     assert report.outcome_counts['done']
