--- a/deckdrum/bench/client.py
+++ b/deckdrum/bench/client.py
@@ -14,13 +14,7 @@
 
 
 class Client:
-    """A client connection to a proxy.
-
-    Parameters
-    ----------
-    link : PostgresLink
-        The authenticated connection.
-    """
+    """A client connection to a proxy, over the authenticated `link`."""
 
     def __init__(self, link: PostgresLink) -> None:
         self.link = link
--- a/deckdrum/bench/deployment.py
+++ b/deckdrum/bench/deployment.py
@@ -53,13 +53,7 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """Stand-ins and proxies running in the current curio kernel.
-
-    Parameters
-    ----------
-    layout : Layout
-        Topology and delays.
-    """
+    """Stand-ins and proxies of a layout, run in the current curio kernel."""
 
     layout: Layout
     journal: Journal = field(default_factory=lambda: open_null_journal('bench'))
--- a/deckdrum/bench/experiments/base.py
+++ b/deckdrum/bench/experiments/base.py
@@ -22,20 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A measured figure.
-
-    Attributes
-    ----------
-    name, unit : str
-        Name and unit of the figure.
-    measured : float
-        Measured value.
-    side : BoundKind or None
-        Kind of the bound; None for an unbounded figure.
-    bound : float
-        Limit for `measured`.
-    naive : float or None
-        Value of a naive policy in the same run, for comparison.
+    """A measured figure and its bound.
+
+    `bound` limits `measured`, unless `side` is None.  `naive` is the value of a
+    naive policy in the same run, for comparison.
     """
 
     name: str
--- a/deckdrum/bench/history.py
+++ b/deckdrum/bench/history.py
@@ -44,16 +44,8 @@
 class History:
     """Reported outcomes of writes, and consistency violations of reads.
 
-    Attributes
-    ----------
-    writes : dict of int to ReportedOutcome
-        Latest reported outcome of each write, by number.
-    violations : list of str
-        Consistency violations observed while the load ran.
-    reads : int
-        Completed reads that were checked.
-    checks : int
-        Acknowledged writes that those reads had to return.
+    `writes` holds the latest outcome of each write, by number.  `reads` counts
+    checked reads, and `checks` the acknowledged writes they had to return.
     """
 
     writes: dict[int, ReportedOutcome] = field(default_factory=dict)
--- a/deckdrum/bench/loads.py
+++ b/deckdrum/bench/loads.py
@@ -19,16 +19,8 @@
 class LoadStatistics:
     """Answers and refusals that the callers of one group received.
 
-    Attributes
-    ----------
-    durations : DurationHistogram
-        Response times of successful requests.
-    completion_times : list of float
-        When those requests completed.
-    refusals : int
-        Number of failed requests.
-    max_wait_s : float
-        Longest time until an answer, successful or not.
+    `durations` and `completion_times` cover successful requests only;
+    `max_wait_s` is the longest time until any answer.
     """
 
     durations: DurationHistogram = field(default_factory=DurationHistogram)
--- a/deckdrum/limits/client.py
+++ b/deckdrum/limits/client.py
@@ -25,20 +25,7 @@
 class LimitClient:
     """Enforces the limits of workspaces for the callers of a node.
 
-    Parameters
-    ----------
-    node : str
-        Name of this node.
-    view : ControlView
-        Lists the members.
-    peers : NodePeers
-        Sends requests to the other nodes.
-    counter : LimitCounter
-        Counts operations on this node and ranks the coordinators.
-    journal : Journal
-        Logs refused operations.
-    counters : Counters
-        Counters of the metrics.
+    `counter` counts operations on this node and ranks the coordinators.
     """
 
     def __init__(
--- a/deckdrum/limits/counting.py
+++ b/deckdrum/limits/counting.py
@@ -31,16 +31,7 @@
 class LimitCounter:
     """Counts operations of the workspaces that this node coordinates.
 
-    Parameters
-    ----------
-    node : str
-        Name of this node.
-    view : ControlView
-        Lists the members and the current limits.
-    peers : NodePeers
-        Sends requests to the other nodes.
-    tolerance : Tolerance
-        How far a limit may be exceeded.
+    `tolerance` is how far a limit may be exceeded.
     """
 
     def __init__(
--- a/deckdrum/members/queue.py
+++ b/deckdrum/members/queue.py
@@ -70,22 +70,9 @@
 class _Account:
     """State of one group.
 
-    Attributes
-    ----------
-    share : GroupShare
-        Its configured share.
-    held : int
-        Connections in use.
-    held_by_owner : Counter of str
-        Connections in use by workspace.
-    used : float
-        Connection time used, in seconds.
-    demand : float
-        Connections recently needed at a time, as of `demand_at`.
-    demand_at : float
-        In kernel seconds.
-    waiting : deque of _Waiter
-        Waiting requests, in order of arrival.
+    `held_by_owner` counts connections in use by workspace, and `used` sums up
+    connection time in seconds.  `demand` is the number of connections recently
+    needed at a time, as of kernel second `demand_at`.
     """
 
     share: GroupShare
@@ -141,18 +128,12 @@
 
 
 class FairQueue:
-    """Shares connections between member groups.
-
-    Parameters
-    ----------
-    slots : int
-        Number of connections to share.
-    shares : mapping of str to GroupShare
-        Shares of configured groups; others get the default share.
+    """Shares `slots` connections between member groups.
+
+    Groups that are not in `shares` get the default share.
     """
 
     def __init__(self, slots: int, shares: Mapping[str, GroupShare]) -> None:
-        #: Number of connections to share.
         self.slots = slots
         self._shares = dict(shares)
         self._accounts: dict[str, _Account] = {}
@@ -215,12 +196,10 @@
         Parameters
         ----------
         group : str
-            The member group that asks.
         timeout : float
             Longest wait, in seconds.
         on_time_wait : float
-            Longest wait, in seconds, after which the request still meets its
-            objective.
+            Longest wait that still meets the objective, in seconds.
         owner : str
             Workspace of the request; workspaces of a group take turns.
 
--- a/deckdrum/standins/database.py
+++ b/deckdrum/standins/database.py
@@ -21,13 +21,7 @@
 
 
 class StandinDatabase(ReplicatedDatabase):
-    """One database server, with its listener.
-
-    Parameters
-    ----------
-    profile : DatabaseProfile
-        Properties of the server.
-    """
+    """One database server, with its listener."""
 
     def __init__(self, profile: DatabaseProfile) -> None:
         super().__init__(profile)
--- a/deckdrum/standins/replication.py
+++ b/deckdrum/standins/replication.py
@@ -74,13 +74,7 @@
 
 
 class ReplicatedDatabase:
-    """Replication state of a database server, without its listener.
-
-    Parameters
-    ----------
-    profile : DatabaseProfile
-        Properties of the database.
-    """
+    """Replication state of a database server, without its listener."""
 
     def __init__(self, profile: DatabaseProfile) -> None:
         self.profile = profile
--- a/deckdrum/standins/transactions.py
+++ b/deckdrum/standins/transactions.py
@@ -71,13 +71,7 @@
 
 
 class Transaction:
-    """Transaction state of one session.
-
-    Parameters
-    ----------
-    database : ReplicatedDatabase
-        Database of the session.
-    """
+    """Transaction state of one session."""
 
     def __init__(self, database: 'ReplicatedDatabase') -> None:
         self._database = database
--- a/deckdrum/store/objects.py
+++ b/deckdrum/store/objects.py
@@ -83,13 +83,7 @@
 
 
 class HttpObjectStore(ObjectStore):
-    """The object API over HTTP.
-
-    Parameters
-    ----------
-    address : Address
-        Address of the platform.
-    """
+    """The object API over HTTP."""
 
     def __init__(self, address: Address) -> None:
         self._client = HttpClient(address)
--- a/deckdrum/store/view.py
+++ b/deckdrum/store/view.py
@@ -45,14 +45,7 @@
 class StoreView:
     """A proxy's copy of the platform's objects.
 
-    Parameters
-    ----------
-    store : ObjectStore
-        Client of the platform's object API.
-    journal : Journal
-        Logs changes of state.
-    randomness : random.Random
-        Adds jitter to the calls of many proxies.
+    `randomness` adds jitter to the calls of many proxies.
     """
 
     def __init__(
