--- a/deckdrum/bench/history.py
+++ b/deckdrum/bench/history.py
@@ -46,6 +46,7 @@
 
     `writes` holds the latest outcome of each write, by number.  `reads` counts
     checked reads, and `checks` the acknowledged writes they had to return.
+    `violations` are those observed while the load ran.
     """
 
     writes: dict[int, ReportedOutcome] = field(default_factory=dict)
--- a/deckdrum/bench/loads.py
+++ b/deckdrum/bench/loads.py
@@ -19,8 +19,8 @@
 class LoadStatistics:
     """Answers and refusals that the callers of one group received.
 
-    `durations` and `completion_times` cover successful requests only;
-    `max_wait_s` is the longest time until any answer.
+    `durations` and `completion_times` cover successful requests, `refusals`
+    counts failed ones, and `max_wait_s` is the longest response time of both.
     """
 
     durations: DurationHistogram = field(default_factory=DurationHistogram)
--- a/deckdrum/limits/client.py
+++ b/deckdrum/limits/client.py
@@ -25,7 +25,8 @@
 class LimitClient:
     """Enforces the limits of workspaces for the callers of a node.
 
-    `counter` counts operations on this node and ranks the coordinators.
+    `counter` counts operations on this node and ranks the coordinators.  `view`
+    lists the members, and `journal` logs refused operations.
     """
 
     def __init__(
--- a/deckdrum/limits/counting.py
+++ b/deckdrum/limits/counting.py
@@ -31,7 +31,8 @@
 class LimitCounter:
     """Counts operations of the workspaces that this node coordinates.
 
-    `tolerance` is how far a limit may be exceeded.
+    `view` lists the members and the current limits, and `tolerance` is how far
+    a limit may be exceeded.
     """
 
     def __init__(
--- a/deckdrum/members/queue.py
+++ b/deckdrum/members/queue.py
@@ -72,7 +72,7 @@
 
     `held_by_owner` counts connections in use by workspace, and `used` sums up
     connection time in seconds.  `demand` is the number of connections recently
-    needed at a time, as of kernel second `demand_at`.
+    needed at a time, as of `demand_at` in kernel seconds.
     """
 
     share: GroupShare
@@ -196,6 +196,7 @@
         Parameters
         ----------
         group : str
+            Member group of the request.
         timeout : float
             Longest wait, in seconds.
         on_time_wait : float
--- a/deckdrum/store/view.py
+++ b/deckdrum/store/view.py
@@ -45,7 +45,7 @@
 class StoreView:
     """A proxy's copy of the platform's objects.
 
-    `randomness` adds jitter to the calls of many proxies.
+    `randomness` adds jitter, so that proxies do not retry at the same time.
     """
 
     def __init__(
