--- a/deckdrum/backends/position_history.py
+++ b/deckdrum/backends/position_history.py
@@ -123,9 +123,9 @@
         >>> history = PositionHistory()
         >>> history.record(term=1, offset=10, started_at=5.0)
         >>> history.record(term=1, offset=30, started_at=6.0)
-        >>> history.find_floor(max_age=2.0, now=6.5)
+        >>> history.find_min_offset(max_age=2.0, now=6.5)
         10
-        >>> history.find_floor(max_age=0.2, now=6.5)
+        >>> history.find_min_offset(max_age=0.2, now=6.5)
         """
         index = bisect_left(self._times, now - max_age)
         if index == len(self._times):
--- a/deckdrum/commands/bench.py
+++ b/deckdrum/commands/bench.py
@@ -77,7 +77,7 @@
         plan = SoakPlan(seed, options.seconds, options.nodes, options.callers)
         report = curio.run(run_soak, plan, folder)
         print_lines(*_describe_soak(seed, report))
-        has_failed = has_failed or bool(report.broken)
+        has_failed = has_failed or bool(report.violations)
     return EXIT_FAILED if has_failed else EXIT_OK
 
 
--- a/deckdrum/commands/reporting.py
+++ b/deckdrum/commands/reporting.py
@@ -53,7 +53,7 @@
         Name of the service.
     reason : str
         The outcome sent to the callers, or ``late``.
-    held : Spread
+    held : DurationSummary
         Durations of the operations, in seconds.
     """
 
@@ -72,10 +72,10 @@
         Number of answered reads by role of the server.
     replica_share : float or None
         Fraction of the reads answered by replicas; None without reads.
-    failover : Spread or None
+    failover : DurationSummary or None
         Times from the last answered write of a term to the first one of a later
         term; None without primary changes.
-    starts : Spread or None
+    starts : DurationSummary or None
         Times from a node's start to its first answered statement.
     refusals : mapping of str to int
         Number of refused statements by code.
--- a/deckdrum/leadership/tests/test_proof.py
+++ b/deckdrum/leadership/tests/test_proof.py
@@ -169,9 +169,9 @@
         asked_at = randomness.uniform(0, promoted_at)
         for name in names[1:]:
             is_fenced = asked_at >= fenced_at.get(name, promoted_at)
-            held_term = 2 if is_fenced else 0
+            fenced_term = 2 if is_fenced else 0
             status = ServerStatus(
-                ServerRole.REPLICA, 1, Position(1, 1), held_term
+                ServerRole.REPLICA, 1, Position(1, 1), fenced_term
             )
             await state.record_status(name, status, asked_at)
         if asked_at < claimed_at:
--- a/deckdrum/node/sessions.py
+++ b/deckdrum/node/sessions.py
@@ -137,7 +137,7 @@
             database=session.state.database,
             workspace=session.state.workspace,
             service=service,
-            standing=session.standing,
+            standing=session.transaction_state,
             outcome=outcome.text if isinstance(outcome, Refusal) else 'done',
             seconds=round(seconds, 3),
             version=self._get_version(),
--- a/deckdrum/platform/frontend.py
+++ b/deckdrum/platform/frontend.py
@@ -83,7 +83,7 @@
             if request is None:
                 return
             outcome = await session.execute(request)
-            payload = encode_outcome(outcome, session.standing)
+            payload = encode_outcome(outcome, session.transaction_state)
             await self._stream.send(payload)
             if self._node.is_closing_sessions and session.is_inactive:
                 # The client reconnects to another node.
--- a/deckdrum/serving/session.py
+++ b/deckdrum/serving/session.py
@@ -58,7 +58,7 @@
         self.idle_since: float = 0
 
     @property
-    def standing(self) -> TransactionState:
+    def transaction_state(self) -> TransactionState:
         """Transaction status of the session."""
         return self.state.transaction_state
 
@@ -126,7 +126,7 @@
             operation.effect,
             operation.template,
         )
-        return Answer(transaction_state=self.standing)
+        return Answer(transaction_state=self.transaction_state)
 
     async def _deallocate(self, request: Request) -> Outcome:
         operation = request.operation
@@ -134,7 +134,7 @@
             return _refuse_out_of_order(request)
         if self.state.prepared.pop(operation.name, None) is None:
             return refuse(Code.UNKNOWN_STATEMENT, operation.name)
-        return Answer(transaction_state=self.standing)
+        return Answer(transaction_state=self.transaction_state)
 
     async def _begin(self, request: Request) -> Outcome:
         operation = request.operation
@@ -226,7 +226,7 @@
         return refuse(Code.TRANSACTION_LOST, reason)
 
     def _has_failed(self) -> bool:
-        return self.standing is TransactionState.FAILED
+        return self.transaction_state is TransactionState.FAILED
 
     def _find_effect(self, request: Request) -> Effect | Refusal:
         operation = request.operation
