--- a/deckdrum/backends/base.py
+++ b/deckdrum/backends/base.py
@@ -32,10 +32,7 @@
 
 
 class WrongServerError(ConnectionError):
-    """The server at the address is not the expected one.
-
-    It may be a later incarnation, which lacks data of the earlier one.
-    """
+    """The server at the address is another one or a later incarnation."""
 
 
 class ServerRole(StrEnum):
@@ -140,11 +137,7 @@
 
 @dataclass(slots=True)
 class LinkState:
-    """State of the server's session on a connection.
-
-    `values` are session values; `prepared` maps the effect and shape of a
-    prepared statement to its name on this connection.
-    """
+    """Session values, and names of prepared statements by effect and shape."""
 
     values: dict[str, str] = field(default_factory=dict)
     prepared: dict[tuple[str, str], str] = field(default_factory=dict)
--- a/deckdrum/backends/pool.py
+++ b/deckdrum/backends/pool.py
@@ -208,10 +208,9 @@
         await self.queue.release(lease.permit)
 
     async def warm(self) -> None:
-        """Open a connection ahead of requests if fewer than wanted are open.
+        """Open one connection ahead of requests if fewer than wanted are open.
 
-        Opens at most one connection per call, so that proxies that start at the
-        same time do not overload a database.
+        More would overload a database when many proxies start at once.
         """
         open_connections = len(self._idle) + self.queue.held
         if open_connections >= min(WARM_CONNECTIONS, self.queue.slots):
--- a/deckdrum/backends/position_history.py
+++ b/deckdrum/backends/position_history.py
@@ -63,8 +63,7 @@
             self._offsets.clear()
             self._times.clear()
         if self._offsets and self._offsets[-1] == offset:
-            # The primary has not moved, so the data at this position is still
-            # current at the later time.
+            # The primary has not moved, so the data is still current.
             self._times[-1] = max(self._times[-1], started_at)
             return
         if self._offsets and self._offsets[-1] > offset:
@@ -78,10 +77,8 @@
     def bound_age(self, offset: int, now: float) -> float:
         """Return an upper bound on the age of data at `offset`, in seconds.
 
-        Notes
-        -----
-        The bound is the time since the last probe was sent at which the primary
-        was at or below `offset`.
+        This is the time since the last probe was sent at which the primary was
+        at or below `offset`.
         """
         index = bisect_right(self._offsets, offset)
         if index == 0:
--- a/deckdrum/fleet/borrowing.py
+++ b/deckdrum/fleet/borrowing.py
@@ -31,8 +31,7 @@
 
 #: Time allowed for a lender's answer in addition to the wait in its queue.
 LENDER_REPLY_MARGIN_S: Final = 0.15
-#: Longest wait in the queue of the last lender asked, before another server is
-#: tried.
+#: Longest wait in the last lender's queue before another server is tried.
 LENDER_QUEUE_TIMEOUT_S: Final = 0.25
 #: Delay before a server that reached its connection limit is tried again.
 #: Connections of a node that lost power count against the limit for 3 s.
@@ -257,11 +256,8 @@
     ) -> BackendLink | LinkLent | None:
         """Borrow from one node.
 
-        Returns
-        -------
-        BackendLink, LinkLent or None
-            The lender's refusal if it has no free connection; None if it
-            does not answer or holds no connections.
+        Returns the lender's refusal if it has no free connection, and None if
+        it does not answer or holds no connections.
         """
         try:
             async with curio.timeout_after(
--- a/deckdrum/fleet/detours.py
+++ b/deckdrum/fleet/detours.py
@@ -39,13 +39,7 @@
         self.dial_direct = dial_direct
 
     async def dial(self, server: BackendServer, timeout: float) -> Stream:
-        """Open a connection to a server.
-
-        Raises
-        ------
-        ConnectionError
-            If it cannot be opened within `timeout` seconds.
-        """
+        """Open a connection, or raise `ConnectionError` after `timeout` s."""
         peer = self.detours.get(server.id)
         if peer is None:
             return await self.dial_direct(server.address, timeout)
--- a/deckdrum/fleet/health.py
+++ b/deckdrum/fleet/health.py
@@ -75,10 +75,7 @@
         return name in self._unresponsive
 
     def has_refused_connection(self, name: str) -> bool:
-        """Return whether a node refused its last connection.
-
-        Its process is not running then.
-        """
+        """Return whether a node refused its last connection (not running)."""
         return isinstance(self._unresponsive.get(name), ConnectionRefusedError)
 
     def may_be_partitioned(self, name: str) -> bool:
--- a/deckdrum/fleet/membership.py
+++ b/deckdrum/fleet/membership.py
@@ -84,8 +84,7 @@
     def list_keepers(self, service: str, now: float) -> list[Instance]:
         """Return the candidates to keep a service, best first.
 
-        Suspected proxies come last.  They are not left out, so that there is a
-        candidate even if all are suspected.
+        Suspected proxies come last; there is a candidate even if all are.
         """
         known = {
             name: each
--- a/deckdrum/fleet/messages.py
+++ b/deckdrum/fleet/messages.py
@@ -26,10 +26,7 @@
 
 
 class PreparedStatement(Message, frozen=True):
-    """A statement that a caller has prepared.
-
-    `parse` is the body of its Parse message without the name.
-    """
+    """A prepared statement; `parse` is its Parse body without the name."""
 
     name: str
     server_name: str
@@ -87,10 +84,7 @@
 
 
 class BatchRefused(Message, frozen=True):
-    """Reports that a batch failed.
-
-    `lost_transaction` tells whether the open transaction was lost with it.
-    """
+    """Reports a failed batch, and whether the open transaction was lost."""
 
     code: str
     text: str
@@ -134,10 +128,7 @@
 
 
 class ConfigurationAnswer(Message, frozen=True):
-    """Carries a peer's configuration and records.
-
-    `number` is 0 if the peer has no newer configuration.
-    """
+    """A peer's records, and its configuration if newer (else `number` is 0)."""
 
     number: int
     body: bytes
--- a/deckdrum/fleet/node_peers.py
+++ b/deckdrum/fleet/node_peers.py
@@ -179,11 +179,8 @@
     ) -> PeerAnswer:
         """Send a request to a peer and return its answer.
 
-        Returns
-        -------
-        Message, ConnectionRefusedError or None
-            The error if no process listens at the address; None if the
-            peer does not answer within `timeout` seconds.
+        Returns `ConnectionRefusedError` if no process listens at the address,
+        and None if the peer does not answer within `timeout` seconds.
         """
         try:
             async with curio.timeout_after(timeout):
--- a/deckdrum/fleet/peers.py
+++ b/deckdrum/fleet/peers.py
@@ -119,10 +119,7 @@
     ) -> bool | None:
         """Ask some proxies of other data centres whether they reach a database.
 
-        Returns
-        -------
-        bool or None
-            True if any of them does; None if none answered.
+        Returns True if any of them does, and None if none answered.
         """
         others = self._membership.list_remote_proxies()
         asked = self._randomness.sample(
--- a/deckdrum/keepers/core.py
+++ b/deckdrum/keepers/core.py
@@ -154,10 +154,7 @@
     async def reconfigure(self, service: Service, document: Document) -> bool:
         """Apply a new configuration.
 
-        Returns
-        -------
-        bool
-            False if the databases changed, which requires a new keeper.
+        Returns False if the databases changed, which requires a new keeper.
         """
         if service.databases != self.service.databases:
             return False
--- a/deckdrum/keepers/sessions.py
+++ b/deckdrum/keepers/sessions.py
@@ -113,11 +113,7 @@
     async def run(self) -> Message | None:
         """Run batches until the channel closes or sends another message.
 
-        Returns
-        -------
-        Message or None
-            The first message that is not a batch, or None if the channel
-            closed.
+        Returns that message, or None if the channel closed.
         """
         try:
             while True:
@@ -327,10 +323,7 @@
     async def _run_guarded(self, relay: Relay, route: Route) -> RelayResult:
         """Run a relay; abort it if its route is lost.
 
-        Raises
-        ------
-        ConnectionError
-            If the connection breaks or the route is lost.
+        Raises `ConnectionError` if the connection breaks or the route is lost.
         """
         task = await curio.spawn(_run_relay, relay)
         try:
--- a/deckdrum/leadership/duty.py
+++ b/deckdrum/leadership/duty.py
@@ -51,6 +51,5 @@
     ) -> PromotionOutcome:
         """Request a promotion and wait up to `timeout` seconds for the result.
 
-        On a timeout the connection is reset, so that the request cannot
-        reach the platform later.
+        A timeout resets the connection, so the request cannot arrive later.
         """
--- a/deckdrum/leadership/promotion.py
+++ b/deckdrum/leadership/promotion.py
@@ -206,11 +206,7 @@
     ) -> tuple[dict[str, ServerStatus], TermEndVotes] | None:
         """End the old term at nodes, primary and replicas.
 
-        Returns
-        -------
-        tuple or None
-            The fenced replicas and the nodes that have stopped; None if there
-            are too few of them.
+        Returns the fenced replicas and the votes; None if they are too few.
         """
         term = claim.record.term
         ending = await curio.spawn(self._end_term, report, claim)
--- a/deckdrum/leadership/record_store.py
+++ b/deckdrum/leadership/record_store.py
@@ -108,10 +108,9 @@
         await self._put(record, claim.fencing_token)
 
     async def settle_completed(self, claimed: GroupRecord) -> None:
-        """Store the primary of a change that its driver did not settle.
+        """Settle a completed change whose record would block every later one.
 
-        A record that stays claimed would block every later change.  A newer
-        claim is left to its own driver.
+        A newer claim is left to its own driver.
         """
         known = self._context.view.get_leadership(self._runtime.name)
         if known is None or known[1] != claimed:
@@ -127,11 +126,7 @@
         await self._put(record, known[0])
 
     async def create_initial(self) -> None:
-        """Store the primary of a group that has no record yet.
-
-        Nodes that start later read it from the store and need not ask the
-        servers.
-        """
+        """Store the primary of a group without a record, for nodes to read."""
         state = self._runtime.leadership_state
         number = self._context.randomness.getrandbits(_OPERATION_ID_BITS)
         record = GroupRecord(
@@ -164,10 +159,7 @@
         await self._put(record, claim.fencing_token)
 
     def _find_conflict(self, report: PrimaryChangeReport) -> str:
-        """Return what makes the change obsolete; empty if nothing does.
-
-        The primary may have changed, or been claimed, since the decision.
-        """
+        """Return what made the change obsolete since the decision, if any."""
         state = self._runtime.leadership_state
         if state.has_primary and state.primary != report.former:
             return f'{state.primary} leads term {state.term}'
--- a/deckdrum/leadership/state.py
+++ b/deckdrum/leadership/state.py
@@ -77,10 +77,7 @@
 
     @property
     def required_proofs(self) -> int:
-        """Number of unfenced replicas that prove the term.
-
-        Together with the primary they are a majority of the group.
-        """
+        """Unfenced replicas that prove the term: a majority with the primary."""
         return len(self._servers) // 2
 
     @property
@@ -185,8 +182,7 @@
         """Record that a replica has received a write made after `since`.
 
         A fenced replica receives nothing, so this is as good a proof as a
-        status request at `since`.  Answers to reads carry it, which saves
-        status requests under load.
+        status request at `since`, and saves status requests under load.
         """
         if term == self.term and name != self.primary:
             self._record_proof(name, since)
--- a/deckdrum/serving/allocation.py
+++ b/deckdrum/serving/allocation.py
@@ -125,11 +125,7 @@
         return self._allocated_for == inputs
 
     def find_holders(self, workspace: str) -> list[Member]:
-        """Return the holders to which a workspace's statements are forwarded.
-
-        They are in order of preference; those ranked below this node are left
-        out.
-        """
+        """Return the holders to forward to, best first, above this node."""
         ranked = self._ranked_holders.get(workspace)
         if ranked is None:
             ranked = self._rank_holders(workspace)
--- a/deckdrum/serving/attempts.py
+++ b/deckdrum/serving/attempts.py
@@ -198,13 +198,7 @@
     async def _prepare_connection(
         self, timeout: float
     ) -> Rejection | Refusal | None:
-        """Acquire a connection and prepare it for the statement.
-
-        Returns
-        -------
-        Rejection, Refusal or None
-            Reason for the failure; None on success.
-        """
+        """Acquire and prepare a connection; return why it failed, or None."""
         lease = await self.handle.acquire(
             self.state.database,
             min(timeout, POOL_QUEUE_TIMEOUT_S),
@@ -282,10 +276,7 @@
 ) -> Rejection | None:
     """Set the session's values and prepare the statement on a connection.
 
-    Returns
-    -------
-    Rejection or None
-        Rejection by the server; the statement has not been sent then.
+    Returns a rejection by the server; the statement has not been sent then.
     """
     if link.state.values != state.values:
         rejection = await _replace_values(link, state)
--- a/deckdrum/serving/host.py
+++ b/deckdrum/serving/host.py
@@ -42,10 +42,7 @@
         service: str,
         workspace: str,
     ) -> StatementRunner | None:
-        """Return the runner for a workspace's statements, if any.
-
-        It runs them locally or on another node.
-        """
+        """Return the local or forwarding runner of a workspace, if any."""
 
     @abstractmethod
     def find_executor(self, service: str) -> StatementExecutor | None:
--- a/deckdrum/serving/proofs.py
+++ b/deckdrum/serving/proofs.py
@@ -213,12 +213,9 @@
     members: Mapping[str, Member],
     remaining: Mapping[str, str],
 ) -> Member | None:
-    """Return the collector of this data centre.
+    """Return this data centre's collector.
 
-    Returns
-    -------
-    Member or None
-        None if it is this node or if there are too few nodes.
+    Returns None if it is this node or if there are too few nodes.
     """
     local_nodes = [
         name for name, centre in remaining.items() if centre == own.data_centre
--- a/deckdrum/utils/http.py
+++ b/deckdrum/utils/http.py
@@ -20,8 +20,7 @@
 class Request:
     """One HTTP request.
 
-    The names in `headers` are in lower case; `query` holds the decoded
-    parameters.
+    Header names are in lower case; `query` holds the decoded parameters.
     """
 
     method: str
--- a/deckdrum/utils/journal.py
+++ b/deckdrum/utils/journal.py
@@ -162,8 +162,7 @@
             name: _REDACTED if name in SECRET_FIELDS else field
             for name, field in fields.items()
         }
-        # Passed as the message, since keys such as "name" are not allowed in
-        # `extra`.
+        # Not passed in `extra`, which rejects keys such as "name".
         self._logger.info({'event': event, 'source': self._source, **shown})
 
     def record_rate_limited(self, event: str, **fields: Any) -> None:
--- a/deckdrum/utils/ranks.py
+++ b/deckdrum/utils/ranks.py
@@ -4,8 +4,8 @@
 from functools import lru_cache
 from typing import Final
 
-#: Holds the ranks of 195 nodes for ten services several times over, so that a
-#: change of one node does not recompute the others.
+#: Holds several times the ranks of 195 nodes for ten services, so that a change
+#: of one node does not recompute the others.
 _CACHE_SIZE: Final = 8192
 
 
--- a/deckdrum/utils/streams.py
+++ b/deckdrum/utils/streams.py
@@ -68,13 +68,7 @@
 
     @abstractmethod
     async def send(self, payload: bytes) -> None:
-        """Send all of `payload`.
-
-        Raises
-        ------
-        ConnectionError
-            If the stream is closed.
-        """
+        """Send all of `payload`; raise `ConnectionError` if closed."""
 
     @abstractmethod
     async def close(self) -> None:
@@ -128,13 +122,7 @@
         return b'' if self.closed else chunk
 
     async def send(self, payload: bytes) -> None:
-        """Send all of `payload`.
-
-        Raises
-        ------
-        ConnectionError
-            If the connection is closed.
-        """
+        """Send all of `payload`; raise `ConnectionError` if closed."""
         if self.closed:
             raise ConnectionResetError('the stream is closed')
         try:
