--- a/deckdrum/leadership/state.py
+++ b/deckdrum/leadership/state.py
@@ -77,7 +77,7 @@
 
     @property
     def required_proofs(self) -> int:
-        """Unfenced replicas that prove the term: a majority with the primary."""
+        """Number of unfenced replicas needed beside the primary for proof."""
         return len(self._servers) // 2
 
     @property
--- a/deckdrum/serving/allocation.py
+++ b/deckdrum/serving/allocation.py
@@ -125,7 +125,7 @@
         return self._allocated_for == inputs
 
     def find_holders(self, workspace: str) -> list[Member]:
-        """Return the holders to forward to, best first, above this node."""
+        """Return the holders ranked above this node, the best first."""
         ranked = self._ranked_holders.get(workspace)
         if ranked is None:
             ranked = self._rank_holders(workspace)
