--- a/deckdrum/fleet/borrowing.py
+++ b/deckdrum/fleet/borrowing.py
@@ -87,9 +87,7 @@
     async def send(self, payload: bytes) -> None:
         """Send all of `payload`."""
         if self._is_closed:
-            raise ConnectionResetError(
-                'the borrowed connection has been returned'
-            )
+            raise ConnectionResetError('the connection was given back')
         await self.channel.send(RelayedBytes(payload))
 
     async def close(self) -> None:
@@ -135,9 +133,7 @@
         """Open a connection for an owner, unless the server was just full."""
         now = await curio.clock()
         if now < self.full_until:
-            raise NoFreeConnectionError(
-                f'{self.name} reached its connection limit a moment ago'
-            )
+            raise NoFreeConnectionError(f'{self.name} was full a moment ago')
         self._direct.server = self.server
         has_log = self.is_log_known_nonempty()
         try:
@@ -229,9 +225,7 @@
             has_answer = has_answer or answer is not None
         if has_answer:
             # A connection beyond the allocation would overload the server.
-            raise NoFreeConnectionError(
-                f'{self.name}: no lender has a free connection'
-            )
+            raise NoFreeConnectionError(f'{self.name}: the lenders have none')
         link = await self._own.connect_for(group, timeout, workspace)
         link.is_kept = False
         return link
@@ -287,9 +281,7 @@
     if isinstance(answer, LinkLent):
         return answer
     await channel.close()
-    raise ConnectionAbortedError(
-        f'unexpected {type(answer).__name__} from a lender'
-    )
+    raise ConnectionAbortedError(f'{type(answer).__name__} to a borrower')
 
 
 async def _return_to_lender(
--- a/deckdrum/fleet/channels.py
+++ b/deckdrum/fleet/channels.py
@@ -100,9 +100,7 @@
         try:
             self._unpacker.feed(chunk)
         except msgpack.BufferFull as error:
-            raise MessageError(
-                f'a message is larger than {MAX_MESSAGE_BYTES} bytes'
-            ) from error
+            raise MessageError('a message is too large') from error
 
     def _unpack(self) -> Any:
         try:
@@ -110,9 +108,7 @@
         except msgpack.OutOfData:
             return None
         except (ValueError, msgpack.UnpackException) as error:
-            raise MessageError(
-                'the peer sent invalid MessagePack data'
-            ) from error
+            raise MessageError('the peer sent no MessagePack') from error
 
 
 class _MessageQueue:
--- a/deckdrum/fleet/detours.py
+++ b/deckdrum/fleet/detours.py
@@ -62,15 +62,13 @@
             answer = await channel.receive()
     except curio.TaskTimeout as error:
         await stream.close()
-        raise ConnectionAbortedError(
-            f'{peer} did not answer a detour request in time'
-        ) from error
+        raise ConnectionAbortedError(f'{peer} opens no detour') from error
     except (ConnectionError, curio.CancelledError):
         await stream.close()
         raise
     if not isinstance(answer, DetourOpened) or not answer.is_open:
         await stream.close()
-        raise ConnectionAbortedError(f'{peer} cannot open a detour to {server}')
+        raise ConnectionAbortedError(f'{peer} does not reach {server}')
     return stream
 
 
--- a/deckdrum/fleet/messages.py
+++ b/deckdrum/fleet/messages.py
@@ -213,7 +213,7 @@
         message_type = _MESSAGE_TYPES[parts[0]]
         message: Message = message_type(*parts[1:])
     except (TypeError, IndexError, KeyError) as error:
-        raise MessageError(f'invalid message: {parts!r:.80}') from error
+        raise MessageError(f'no message: {parts!r:.80}') from error
     if isinstance(message, RunBatch):
         return _restore_statements(message)
     return message
--- a/deckdrum/members/queue.py
+++ b/deckdrum/members/queue.py
@@ -226,7 +226,7 @@
             account, now
         )
         if expected > timeout or is_late:
-            reason = 'has too long a queue'
+            reason = 'waits too long'
             return await self._refuse(
                 Code.QUEUE_TIMEOUT, account, owner, reason
             )
--- a/deckdrum/platform/backends.py
+++ b/deckdrum/platform/backends.py
@@ -114,7 +114,7 @@
             return await self._read_answer()
         except LineError as error:
             raise ConnectionAbortedError(
-                f'protocol error of the server: {error}',
+                f'the database broke the protocol: {error}',
             ) from error
 
     async def _read_answer(self) -> Answer | Rejection:
@@ -185,7 +185,7 @@
         except curio.TaskTimeout as error:
             await stream.close()
             raise ConnectionAbortedError(
-                f'{self.name} did not answer STARTUP in time',
+                f'{self.name} does not answer a new connection',
             ) from error
         except (ConnectionError, curio.CancelledError):
             await stream.close()
@@ -273,5 +273,5 @@
     """
     line = await reader.read()
     if line is None:
-        raise ConnectionResetError('the server closed the connection')
+        raise ConnectionResetError('the database closed the connection')
     return line
--- a/deckdrum/platform/wire.py
+++ b/deckdrum/platform/wire.py
@@ -147,7 +147,7 @@
         return None
     match = _POSITION.fullmatch(text)
     if match is None:
-        raise LineError(f'invalid position {text!r}, expected TERM.OFFSET')
+        raise LineError(f'{text!r} is no position, expected TERM.NUMBER')
     return Position(int(match[1]), int(match[2]))
 
 
@@ -164,9 +164,7 @@
         raise LineError(f'{shorten(line)}, expected READY state position')
     state = _TRANSACTION_STATES.get(fields[1])
     if state is None:
-        raise LineError(
-            f'invalid transaction state {fields[1]!r}, expected I, T or E'
-        )
+        raise LineError(f'{fields[1]!r} is no state, expected I, T or E')
     return state, decode_position(fields[2])
 
 
