--- a/deckdrum/forwarding/encoding.py
+++ b/deckdrum/forwarding/encoding.py
@@ -204,7 +204,7 @@
     try:
         code = Code(message.code)
     except ValueError as error:
-        raise MessageError(f'unknown code: {message.code!r}') from error
+        raise MessageError(f'no code: {message.code!r}') from error
     return Refusal(code, CODES[code].fate, message.text, message.retry_after)
 
 
--- a/deckdrum/forwarding/tests/test_encoding.py
+++ b/deckdrum/forwarding/tests/test_encoding.py
@@ -112,5 +112,5 @@
 
 
 def test_unknown_outcome_code_is_rejected() -> None:
-    with pytest.raises(MessageError, match='unknown code'):
+    with pytest.raises(MessageError, match='no code'):
         decode_outcome(ForwardAnswer(False, 'DD999', '', None, (), ()))
