--- a/deckdrum/commands/bench.py
+++ b/deckdrum/commands/bench.py
@@ -44,9 +44,9 @@
 def demo(options: argparse.Namespace) -> int:
     """Run the end-to-end demonstration."""
     run = run_virtual if options.virtual else curio.run
-    account = run(run_demo)
-    print_lines(*account.lines)
-    return EXIT_FAILED if account.failures else EXIT_OK
+    report = run(run_demo)
+    print_lines(*report.lines)
+    return EXIT_FAILED if report.failures else EXIT_OK
 
 
 def relay(options: argparse.Namespace) -> int:
